--- a/marigoldswitch/core/engine_groups.py
+++ b/marigoldswitch/core/engine_groups.py
@@ -1,4 +1,4 @@
-"""Which engines hold a model together, and with how much memory for requests."""
+"""Groups engines that hold a model together and sets their capacity for requests."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,52 +6,60 @@
 from marigoldswitch.core.layer_cover import EngineSlot
 from marigoldswitch.core.models import ModelSpec
 
-TOKENS = tuple(range(60_000, 0, -5_000))
-"""Context tokens that the holders of each layer should have memory for together, in the
-order of trial: some 60 requests of 1,000 tokens, more than a data centre has under way
-in a burst. More would leave fewer layers a second holder; less only where the engines
-could not hold the model otherwise."""
+CAPACITY_GOALS = tuple(range(60_000, 0, -5_000))
+"""Candidate capacities of each layer in context tokens, in the order they are tried.
+
+The first allows some 60 requests of 1,000 tokens, more than a data centre runs in a
+burst; a higher one would leave fewer layers a second copy. Lower ones are used only
+where the engines could not hold the model otherwise."""
 
 
 def group_engines(
     model: ModelSpec, engines: Sequence[EngineSlot]
 ) -> list[list[EngineSlot]]:
-    """Return the engines by data centre; those that are too few alone are together.
+    """Return groups of engines, each of which holds a whole model if memory allows.
 
-    A data centre that may be cut off needs a whole model. Where the memory of some
-    is too small for one, they share one and pay for the links between them.
+    A data centre that may be cut off needs a whole model and is a group of its own.
+    Data centres with too little memory share a model, at the cost of the links between
+    them; if even these are too small together, all engines form one group.
     """
     centres: dict[DataCentre, list[EngineSlot]] = {}
     for item in engines:
         centres.setdefault(item.data_centre, []).append(item)
-    whole = [group for group in centres.values() if holds_model(model, group)]
-    rest = [
+    self_sufficient = [group for group in centres.values() if holds_model(model, group)]
+    too_small = [
         item
         for group in centres.values()
         if not holds_model(model, group)
         for item in group
     ]
-    if not rest:
-        return whole
-    if holds_model(model, rest):
-        return [*whole, rest]
+    if not too_small:
+        return self_sufficient
+    if holds_model(model, too_small):
+        return [*self_sufficient, too_small]
     return [list(engines)]
 
 
 def holds_model(model: ModelSpec, engines: Iterable[EngineSlot]) -> bool:
-    """Tell whether some engines have memory for a whole model."""
-    return count_layers(model, engines, TOKENS[-1]) >= model.layers
+    """Return whether engines can hold a whole model at the lowest capacity goal."""
+    return count_layers(model, engines, CAPACITY_GOALS[-1]) >= model.layers
 
 
 def count_layers(model: ModelSpec, engines: Iterable[EngineSlot], tokens: int) -> int:
-    """Return the layers that engines hold beside memory for some tokens each."""
-    kinds = (model.accelerators[item.accelerator] for item in engines)
-    return sum(model.count_layers(kind, tokens) for kind in kinds)
+    """Return how many layers engines can hold in total.
+
+    :param tokens: context tokens that each of them keeps memory for.
+    """
+    accelerators = (model.accelerators[item.accelerator] for item in engines)
+    return sum(model.count_layers(accelerator, tokens) for accelerator in accelerators)
 
 
-def choose_tokens(model: ModelSpec, engines: Sequence[EngineSlot]) -> int:
-    """Return the context tokens that each layer of a group should have memory for."""
-    for tokens in TOKENS:
+def choose_capacity_goal(model: ModelSpec, engines: Sequence[EngineSlot]) -> int:
+    """Return the highest capacity goal at which a group can hold the model.
+
+    The lowest one if there is none.
+    """
+    for tokens in CAPACITY_GOALS:
         if count_layers(model, engines, tokens) >= model.layers:
             return tokens
-    return TOKENS[-1]
+    return CAPACITY_GOALS[-1]
--- a/marigoldswitch/core/layer_cover.py
+++ b/marigoldswitch/core/layer_cover.py
@@ -1,4 +1,4 @@
-"""Who holds which layers of a model, and how much memory that leaves for requests."""
+"""Tracks which engines hold which layers and how much request memory that leaves."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -10,10 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSlot:
-    """An engine, as the layout sees it.
+    """An engine as input of the layout planner.
 
-    :param layers: what it holds or is loading; ``None`` where it is empty.
-    :param is_busy: it carries out an order and takes no other.
+    :param accelerator: name of its accelerator kind.
+    :param layers: the layers it holds or is loading; ``None`` if it is empty.
+    :param is_busy: it has an order in progress and accepts no other.
     """
 
     target: TargetId
@@ -24,18 +25,19 @@
 
 
 class LayerCover:
-    """The layers that some engines hold.
+    """The layers that a group of engines holds, with totals for each layer.
 
-    :ivar held: layers of each engine that holds any.
-    :ivar copies: engines that hold each layer.
-    :ivar spans: layers of the engines that hold each layer, added up.
-    :ivar rooms: context tokens that the holders of each layer have memory for together.
+    :ivar held: layer range of each engine that holds any.
+    :ivar copies: number of engines that hold each layer.
+    :ivar holder_sizes: sum of the range lengths of each layer's holders.
+    :ivar rooms: capacity of each layer: context tokens that its holders have memory for
+        together.
     """
 
     def __init__(self, model: ModelSpec, engines: Iterable[EngineSlot]) -> None:
         self.held: dict[TargetId, LayerRange] = {}
         self.copies = [0] * model.layers
-        self.spans = [0] * model.layers
+        self.holder_sizes = [0] * model.layers
         self.rooms = [0.0] * model.layers
         self._model = model
         for engine in engines:
@@ -43,31 +45,31 @@
                 self.put(engine, engine.layers)
 
     def put(self, engine: EngineSlot, layers: LayerRange) -> None:
-        """Let an engine hold some layers, in place of those that it held."""
+        """Record an engine's layers, in place of those that it held before."""
         if engine.target in self.held:
-            self.take(engine)
+            self.unassign(engine)
         self.held[engine.target] = layers
-        self._count(engine, layers, 1)
+        self._update_layers(engine, layers, 1)
 
-    def take(self, engine: EngineSlot) -> None:
-        """Let an engine hold nothing."""
-        self._count(engine, self.held.pop(engine.target), -1)
+    def unassign(self, engine: EngineSlot) -> None:
+        """Record that an engine holds nothing any more."""
+        self._update_layers(engine, self.held.pop(engine.target), -1)
 
-    def measure_room(self, engine: EngineSlot, layers: LayerRange) -> float:
-        """Return the context tokens that fit beside some layers on an engine."""
-        kind = self._model.accelerators[engine.accelerator]
-        return self._model.count_tokens(kind, layers)
+    def measure_capacity(self, engine: EngineSlot, layers: LayerRange) -> float:
+        """Return the context tokens that fit on an engine beside ``layers``."""
+        accelerator = self._model.accelerators[engine.accelerator]
+        return self._model.count_tokens(accelerator, layers)
 
-    def measure_least(self, layers: LayerRange) -> float:
-        """Return the context tokens that some layers have memory for, where least."""
+    def min_capacity(self, layers: LayerRange) -> float:
+        """Return the capacity of the layer with the least, in context tokens."""
         return min(self.rooms[layers.first : layers.end])
 
-    def count_least(self, layers: LayerRange) -> int:
-        """Return the copies of some layers, where there are fewest."""
+    def min_copies(self, layers: LayerRange) -> int:
+        """Return the number of copies of the layer with the fewest."""
         return min(self.copies[layers.first : layers.end])
 
     def list_holes(self) -> list[LayerRange]:
-        """Return the runs of layers that nobody holds."""
+        """Return the runs of layers that no engine holds."""
         holes: list[LayerRange] = []
         for layer, copies in enumerate(self.copies):
             if copies:
@@ -78,10 +80,10 @@
                 holes.append(LayerRange(layer, layer + 1))
         return holes
 
-    def _count(self, engine: EngineSlot, layers: LayerRange, copies: int) -> None:
-        room = copies * self.measure_room(engine, layers)
-        span = copies * (layers.end - layers.first)
+    def _update_layers(self, engine: EngineSlot, layers: LayerRange, sign: int) -> None:
+        capacity = sign * self.measure_capacity(engine, layers)
+        span = sign * (layers.end - layers.first)
         for layer in range(layers.first, layers.end):
-            self.copies[layer] += copies
-            self.spans[layer] += span
-            self.rooms[layer] += room
+            self.copies[layer] += sign
+            self.holder_sizes[layer] += span
+            self.rooms[layer] += capacity
--- a/marigoldswitch/core/layouts.py
+++ b/marigoldswitch/core/layouts.py
@@ -1,17 +1,16 @@
-"""Which layers each engine should hold.
-
-Load it answers: engines that start empty, die, leave and join at any time, on
-accelerators of very different memory and pace. What goes wrong without it: accelerators
-that are filled to the brim with weights have no memory left for requests; segments of
-one size for all leave small accelerators empty; a hole stays open in a data centre that
-may be cut off next.
-
-A request holds memory at each layer, so that a data centre carries what its scarcest
-layer has memory for. All layers are therefore brought to the same memory first: the
-quickest engines lie side by side over the model, each with as many layers as leave it
-that much. What memory is left then goes into second holders, as far as no layer falls
-below. Engines that hold something keep it. A hole is closed by empty engines, else by
-its neighbours, which take a part of it each and give it back once others hold it.
+"""Plans which layers of a model each engine should hold.
+
+Engines start empty, fail, leave and join at any time, and their accelerators differ
+widely in memory and speed. Accelerators filled with weights alone would have no memory
+left for requests, equal layer ranges would leave small accelerators empty, and a hole
+(layers that no engine holds) could stay open in a data centre that is cut off next.
+
+A request needs memory at every layer, so the layer with the least memory for requests
+limits a data centre. The planner therefore first gives all layers the same capacity:
+the fastest engines get adjacent ranges, each small enough to leave that capacity.
+Remaining memory holds second copies, as long as no layer drops below the goal. Engines
+keep what they hold. Empty engines close holes; if there are none, the neighbours of a
+hole take parts of it and release them once other engines hold those layers.
 """
 
 from collections.abc import Iterable, Sequence
@@ -19,7 +18,7 @@
 
 from marigoldswitch.core.catalogue import LayerRange
 from marigoldswitch.core.engine_groups import (
-    choose_tokens,
+    choose_capacity_goal,
     count_layers,
     group_engines,
 )
@@ -27,353 +26,372 @@
 from marigoldswitch.core.layer_cover import EngineSlot, LayerCover
 from marigoldswitch.core.models import Accelerator, ModelSpec
 
-LEAST_TOKENS = 8_000
-"""Context tokens that a neighbour of a hole keeps memory for when it takes a part of
-it: some eight requests. An engine that can be spared is moved where that fails."""
-CROWDED_SHARE = 0.5
-"""Share of the memory that a layer should have below which its holders give back others
-that are held elsewhere as well. Not above: where it has enough, a second holder is
-worth more than memory for more requests."""
-SINGLE_NEED = 1_000_000
-"""Need of all layers together that only one engine holds: small engines get a second
-holder before large ones, as it stands in for more of them."""
-RELIEF_NEED = 10 * SINGLE_NEED
-"""Need of each layer that a crowded engine holds beyond what it should: it gives it
-back once another one holds it, and has memory for requests again."""
-STEP_SECONDS = 1.4
-"""Longest load at once while requests run: a large accelerator would bring nothing for
-the 4 s that all it can hold takes, and what is missing may change meanwhile."""
+MIN_FREE_TOKENS = 8_000
+"""Capacity, in context tokens, that each neighbour of a hole must keep when it takes a
+part of it: some eight requests. Otherwise a spare engine is moved, if there is one."""
+OVERCOMMITTED_SHARE = 0.5
+"""An engine is overcommitted if one of its layers has less than this share of the
+capacity goal; it then releases layers that others hold too. With more capacity than
+that, a second copy is worth more than memory for more requests."""
+SOLE_HOLDER_SCORE = 1_000_000
+"""Score for copying all layers that a single engine holds alone. It is split over them,
+so that layers of small engines come first: one copy then backs up more engines."""
+RELIEF_SCORE = 10 * SOLE_HOLDER_SCORE
+"""Score for copying one layer that an overcommitted engine holds in excess: it releases
+the layer once another engine holds it, and has memory for requests again."""
+MAX_LOAD_SECONDS = 1.4
+"""Longest load of one order while requests run. Filling a large accelerator takes 4 s,
+in which it serves nothing and the missing layers may change."""
 
 
 def plan_layout(
     model: ModelSpec, engines: Iterable[EngineSlot]
 ) -> dict[TargetId, LayerRange]:
-    """Return what the engines that should change are to hold."""
+    """Return the new layers of engines to change; skip unknown accelerators."""
     known = [item for item in engines if item.accelerator in model.accelerators]
     known.sort(key=lambda item: item.target)
-    is_first = all(item.layers is None for item in known)
+    is_initial = all(item.layers is None for item in known)
     changes: dict[TargetId, LayerRange] = {}
     for group in group_engines(model, known):
-        changes |= _GroupPlan(model, group, is_first).plan()
+        changes |= _GroupPlanner(model, group, is_initial).plan()
     return changes
 
 
-class _GroupPlan:
-    """One plan for the engines of a data centre.
+class _GroupPlanner:
+    """Plans the layers of one group of engines that hold the model together.
 
-    :param is_first: no engine of the site holds anything yet.
+    :param is_initial: no engine of any group holds layers yet.
     """
 
     def __init__(
-        self, model: ModelSpec, engines: Sequence[EngineSlot], is_first: bool
+        self, model: ModelSpec, engines: Sequence[EngineSlot], is_initial: bool
     ) -> None:
         self._model = model
         self._engines = engines
-        self._tokens = choose_tokens(model, engines)
-        self._step = model.layers if is_first else _choose_step(model)
-        self._is_rich = count_layers(model, engines, self._tokens) >= 2 * model.layers
-        """The engines have memory for two holders of each layer without more ado."""
+        self._goal = choose_capacity_goal(model, engines)
+        self._max_added = model.layers if is_initial else _limit_added(model)
+        self._fits_two_copies = (
+            count_layers(model, engines, self._goal) >= 2 * model.layers
+        )
+        """The group can hold two copies of each layer at the capacity goal."""
         self._cover = LayerCover(model, engines)
         self._changes: dict[TargetId, LayerRange] = {}
 
     def plan(self) -> dict[TargetId, LayerRange]:
-        """Return what the engines that should change are to hold."""
-        self._fill_empty()
+        """Return the new layer range of each engine that should change."""
+        self._assign_empty_engines()
         self._close_holes()
-        if self._cover.list_holes() and not self._is_filling():
-            self._lay_anew()
-        self._widen()
-        self._trim()
+        if self._cover.list_holes() and not self._has_memory_left():
+            self._rebuild()
+        self._add_copies()
+        self._release_excess()
         return self._changes
 
-    # Empty engines, and those with memory for more.
+    # Empty engines, and those with memory for more layers.
 
-    def _fill_empty(self) -> None:
-        """Give empty engines what nobody holds, then second copies; quick ones first.
+    def _assign_empty_engines(self) -> None:
+        """Assign missing layers to empty engines, then second copies, fastest first.
 
-        The first copies of all layers are then on the quickest engines: a request
-        holds memory at all of its engines until the slowest has made the last token.
+        The fastest engines thus hold the first copy of each layer: a request holds
+        memory at all of its engines until the slowest has computed the last token.
         """
         empty = [item for item in self._engines if item.layers is None]
-        empty.sort(key=lambda item: (self._kind(item).step_factor, -self._size(item)))
-        crowded = self._list_crowded()
+        empty.sort(
+            key=lambda item: (
+                self._accelerator(item).step_factor,
+                -self._nominal_size(item),
+            )
+        )
+        overcommitted = self._list_overcommitted()
         for engine in empty:
-            if not engine.is_busy and not self._take_hole(engine):
-                self._stand_in(engine, crowded)
+            if not engine.is_busy and not self._assign_hole(engine):
+                self._assign_copy(engine, overcommitted)
 
-    def _take_hole(self, engine: EngineSlot) -> bool:
-        """Give an engine the first layers that nobody holds; tell whether there are."""
+    def _assign_hole(self, engine: EngineSlot) -> bool:
+        """Assign the start of the first hole to an engine; return whether it did."""
         holes = self._cover.list_holes()
-        size = min(self._size(engine), self._step)
+        size = min(self._nominal_size(engine), self._max_added)
         if not holes or not size:
             return False
         hole = holes[0]
-        self._change(engine, LayerRange(hole.first, min(hole.end, hole.first + size)))
+        self._assign(engine, LayerRange(hole.first, min(hole.end, hole.first + size)))
         return True
 
-    def _stand_in(
-        self, engine: EngineSlot, crowded: Iterable[tuple[LayerRange, int]]
+    def _assign_copy(
+        self, engine: EngineSlot, overcommitted: Iterable[tuple[LayerRange, int]]
     ) -> None:
-        """Give an engine a second copy of the layers that need it most.
+        """Assign the run of layers with the highest score to an engine.
 
-        Where memory is short, two holders have memory for half of the requests each.
+        Where memory is short, each of two holders needs only half of the capacity goal.
 
-        :param crowded: what engines hold that hold too much, and by how many layers.
+        :param overcommitted: layer ranges of overcommitted engines, and how many layers
+            of each are in excess.
         """
-        tokens = self._tokens if self._is_rich else self._tokens / 2
-        kind = self._kind(engine)
-        size = min(self._model.count_layers(kind, tokens), self._step)
+        tokens = self._goal if self._fits_two_copies else self._goal / 2
+        accelerator = self._accelerator(engine)
+        size = min(self._model.count_layers(accelerator, tokens), self._max_added)
         if size == 0:
             return
-        sums = [0, *accumulate(self._list_needs())]
+        sums = [0, *accumulate(self._score_layers())]
         starts = range(self._model.layers - size + 1)
-        needs = [sums[first + size] - sums[first] for first in starts]
-        for held, spare in crowded:
+        scores = [sums[first + size] - sums[first] for first in starts]
+        for held, excess in overcommitted:
             for first in starts:
-                covered = _count_covered(held, first, first + size)
-                needs[first] += RELIEF_NEED * min(spare, covered)
-        first = needs.index(max(needs))
-        self._change(engine, LayerRange(first, first + size))
+                covered = _count_overlap_at_end(held, first, first + size)
+                scores[first] += RELIEF_SCORE * min(excess, covered)
+        first = scores.index(max(scores))
+        self._assign(engine, LayerRange(first, first + size))
 
-    def _list_needs(self) -> list[int]:
-        """Return how much each layer needs one more holder.
+    def _score_layers(self) -> list[int]:
+        """Return how much each layer needs another copy.
 
-        Whole numbers, so that runs that are needed alike compare as equal and the first
-        one is taken: the second copies then lie side by side as well.
+        Integer scores make sums over equal runs compare as equal; the first run wins,
+        so that second copies are adjacent as well.
         """
         cover = self._cover
         return [
-            SINGLE_NEED // span if copies == 1 else self._tokens // (copies**2 + 1)
-            for copies, span in zip(cover.copies, cover.spans, strict=True)
+            SOLE_HOLDER_SCORE // span if copies == 1 else self._goal // (copies**2 + 1)
+            for copies, span in zip(cover.copies, cover.holder_sizes, strict=True)
         ]
 
-    def _widen(self) -> None:
-        """Let engines hold more layers as far as all keep the memory they should have.
+    def _add_copies(self) -> None:
+        """Extend engines while all layers keep the capacity goal.
 
-        Each layer that two hold outlives the loss of one of them.
+        A layer with two holders survives the loss of one.
         """
-        for engine in self._list_free(also_changed=self._step == self._model.layers):
+        for engine in self._list_available(
+            include_changed=self._max_added == self._model.layers
+        ):
             held = self._cover.held[engine.target]
             layers = held
-            while _count(layers) - _count(held) < self._step:
-                wider = self._choose_wider(engine, held, layers)
-                if wider is None:
+            while _length(layers) - _length(held) < self._max_added:
+                extended = self._choose_extension(engine, held, layers)
+                if extended is None:
                     break
-                layers = wider
+                layers = extended
             if layers != held:
-                self._change(engine, layers)
+                self._assign(engine, layers)
 
-    def _choose_wider(
+    def _choose_extension(
         self, engine: EngineSlot, held: LayerRange, layers: LayerRange
     ) -> LayerRange | None:
-        """Return one layer more than an engine should hold, if it may.
+        """Return ``layers`` with one more layer at either end, or ``None``.
+
+        The layer must have fewer than two copies; the capacity goal must still hold.
 
-        :param held: what it counts as holding.
-        :param layers: what it is to hold as far as is decided.
+        :param held: the engine's range in the coverage.
+        :param layers: its range as extended so far.
         """
         cover = self._cover
-        ways = [
+        candidates = [
             LayerRange(layers.first - 1, layers.end),
             LayerRange(layers.first, layers.end + 1),
         ]
         best, fewest = None, 2
-        for index, way in enumerate(ways):
-            added = way.first if index == 0 else way.end - 1
+        for index, candidate in enumerate(candidates):
+            added = candidate.first if index == 0 else candidate.end - 1
             if not 0 <= added < self._model.layers or cover.copies[added] >= fewest:
                 continue
-            room = cover.measure_room(engine, way)
-            lost = cover.measure_room(engine, held) - room
-            keeps = cover.measure_least(held) - lost >= self._tokens
-            if keeps and room >= self._tokens / 2:
-                best, fewest = way, cover.copies[added]
+            capacity = cover.measure_capacity(engine, candidate)
+            lost = cover.measure_capacity(engine, held) - capacity
+            keeps_goal = cover.min_capacity(held) - lost >= self._goal
+            if keeps_goal and capacity >= self._goal / 2:
+                best, fewest = candidate, cover.copies[added]
         return best
 
     # Holes.
 
     def _close_holes(self) -> None:
-        """Close holes by their neighbours, or by engines that can be spared."""
+        """Close holes by extending their neighbours or moving spare engines."""
         for _ in self._engines:
             holes = self._cover.list_holes()
-            if not any(self._close(hole) for hole in holes):
+            if not any(self._close_hole(hole) for hole in holes):
                 return
 
-    def _close(self, hole: LayerRange) -> bool:
-        """Close a hole or a part of it; tell whether that was possible."""
-        found = self._divide(hole)
-        has_room = found and min(room for _, _, room in found) >= LEAST_TOKENS
-        donor = None if has_room else self._find_donor()
-        if donor is not None:
-            self._cover.take(donor)
-            return self._take_hole(donor)
-        for engine, layers, _ in found or ():
-            self._change(engine, layers)
-        return bool(found)
-
-    def _divide(
+    def _close_hole(self, hole: LayerRange) -> bool:
+        """Close a hole or a part of it; return whether that was possible."""
+        shares = self._split_hole(hole)
+        has_capacity = shares and min(left for _, _, left in shares) >= MIN_FREE_TOKENS
+        spare_engine = None if has_capacity else self._find_spare_engine()
+        if spare_engine is not None:
+            self._cover.unassign(spare_engine)
+            return self._assign_hole(spare_engine)
+        for engine, layers, _ in shares or ():
+            self._assign(engine, layers)
+        return bool(shares)
+
+    def _split_hole(
         self, hole: LayerRange
     ) -> list[tuple[EngineSlot, LayerRange, float]] | None:
-        """Return how the neighbours of a hole share it, with the memory left to each.
+        """Return new ranges of a hole's neighbours and the capacity each has left.
 
-        Of all ways the one is taken that leaves most memory where least is left.
+        Maximizes the lowest capacity left; ``None`` if the neighbours can't close it.
         """
-        settled, held = self._list_settled(), self._cover.held
-        before = [item for item in settled if held[item.target].end == hole.first]
-        after = [item for item in settled if held[item.target].first == hole.end]
-        best, best_room = None, 0.0
+        idle, held = self._list_idle(), self._cover.held
+        before = [item for item in idle if held[item.target].end == hole.first]
+        after = [item for item in idle if held[item.target].first == hole.end]
+        best, best_capacity = None, 0.0
         for cut in range(hole.first, hole.end + 1):
             parts = []
             if cut > hole.first:
-                parts.append(self._extend(before, hole.first, cut))
+                parts.append(self._choose_neighbour(before, hole.first, cut))
             if cut < hole.end:
-                parts.append(self._extend(after, cut, hole.end))
+                parts.append(self._choose_neighbour(after, cut, hole.end))
             if None in parts:
                 continue
             found = [part for part in parts if part is not None]
-            room = min(room for _, _, room in found)
-            if room > best_room:
-                best, best_room = found, room
+            capacity = min(left for _, _, left in found)
+            if capacity > best_capacity:
+                best, best_capacity = found, capacity
         return best
 
-    def _extend(
+    def _choose_neighbour(
         self, engines: Iterable[EngineSlot], first: int, end: int
     ) -> tuple[EngineSlot, LayerRange, float] | None:
-        """Return the engine that has most memory left with some layers more."""
+        """Return the engine with most capacity left, its new range and the capacity."""
         best: tuple[EngineSlot, LayerRange, float] | None = None
         for engine in engines:
             held = self._cover.held[engine.target]
             layers = LayerRange(min(first, held.first), max(end, held.end))
-            if _count(layers) - _count(engine.layers) > self._step:
+            if _length(layers) - _length(engine.layers) > self._max_added:
                 continue
-            room = self._cover.measure_room(engine, layers)
-            if room > 0.0 and (best is None or room > best[2]):
-                best = (engine, layers, room)
+            capacity = self._cover.measure_capacity(engine, layers)
+            if capacity > 0.0 and (best is None or capacity > best[2]):
+                best = (engine, layers, capacity)
         return best
 
-    def _find_donor(self) -> EngineSlot | None:
-        """Return an engine all of whose layers others hold too, the slowest one."""
-        donors = [
+    def _find_spare_engine(self) -> EngineSlot | None:
+        """Return the slowest engine all of whose layers have another holder."""
+        spare_engines = [
             engine
-            for engine in self._list_free()
-            if self._size(engine) > 0
-            and self._cover.count_least(self._cover.held[engine.target]) > 1
+            for engine in self._list_available()
+            if self._nominal_size(engine) > 0
+            and self._cover.min_copies(self._cover.held[engine.target]) > 1
         ]
-        return max(donors, key=lambda item: self._kind(item).step_factor, default=None)
+        return max(
+            spare_engines,
+            key=lambda item: self._accelerator(item).step_factor,
+            default=None,
+        )
 
-    def _is_filling(self) -> bool:
-        """Tell whether some engine has memory for a whole step more."""
+    def _has_memory_left(self) -> bool:
+        """Return whether some engine has memory for the most layers of one order."""
         return any(
-            _count(item.layers) + self._step <= self._size(item)
+            _length(item.layers) + self._max_added <= self._nominal_size(item)
             for item in self._engines
         )
 
-    def _lay_anew(self) -> None:
-        """Lay the runs of all engines side by side, in the order that they have now.
+    def _rebuild(self) -> None:
+        """Assign adjacent ranges to all engines anew, in their present order.
 
-        For the loss of a large accelerator, whose layers its neighbours can't take:
-        the data centre has no chain, so that nothing is lost by moving all others.
+        Used after the loss of a large accelerator whose layers its neighbours can't
+        take: the group has no chain, so moving all other engines loses nothing.
         """
         held = self._cover.held
-        free = self._list_settled()
-        if len(free) < len(held) or sum(map(self._size, free)) < self._model.layers:
+        engines = self._list_idle()
+        if (
+            len(engines) < len(held)
+            or sum(map(self._nominal_size, engines)) < self._model.layers
+        ):
             return
-        free.sort(key=lambda item: (held[item.target].first, item.target))
+        engines.sort(key=lambda item: (held[item.target].first, item.target))
         end = 0
-        for engine in free:
+        for engine in engines:
             if end >= self._model.layers:
                 return
-            size = self._size(engine)
+            size = self._nominal_size(engine)
             first = min(end, self._model.layers - size)
             if LayerRange(first, first + size) != held[engine.target]:
-                self._change(engine, LayerRange(first, first + size))
+                self._assign(engine, LayerRange(first, first + size))
             end = first + size
 
-    # Engines that hold more than they should.
+    # Overcommitted engines.
 
-    def _list_crowded(self) -> list[tuple[LayerRange, int]]:
-        """Return what engines hold that hold too much, and by how many layers."""
+    def _list_overcommitted(self) -> list[tuple[LayerRange, int]]:
+        """Return the ranges of overcommitted engines and how many layers are excess."""
         found = []
         for engine in self._engines:
             held = self._cover.held.get(engine.target)
-            if held is not None and self._is_crowded(held):
-                found.append((held, max(0, _count(held) - self._size(engine))))
+            if held is not None and self._is_overcommitted(held):
+                found.append((held, max(0, _length(held) - self._nominal_size(engine))))
         return found
 
-    def _is_crowded(self, held: LayerRange) -> bool:
-        return self._cover.measure_least(held) < CROWDED_SHARE * self._tokens
+    def _is_overcommitted(self, held: LayerRange) -> bool:
+        return self._cover.min_capacity(held) < OVERCOMMITTED_SHARE * self._goal
 
-    def _trim(self) -> None:
-        """Let engines give back what they took for a hole that others have closed."""
-        for engine in self._list_free():
+    def _release_excess(self) -> None:
+        """Shrink engines that took parts of a hole which others hold by now."""
+        for engine in self._list_available():
             held = self._cover.held[engine.target]
-            if not self._is_crowded(held):
+            if not self._is_overcommitted(held):
                 continue
-            layers = self._shrink(engine, _count(held) - self._size(engine))
+            layers = self._shrink(engine, _length(held) - self._nominal_size(engine))
             if layers != held:
-                self._change(engine, layers)
+                self._assign(engine, layers)
 
-    def _shrink(self, engine: EngineSlot, spare: int) -> LayerRange:
-        """Return what is left without up to ``spare`` layers at the ends.
+    def _shrink(self, engine: EngineSlot, excess: int) -> LayerRange:
+        """Return an engine's range without up to ``excess`` layers at its ends.
 
-        Only those that others have memory enough for.
+        Only layers for which the other holders have enough capacity are dropped.
         """
         held = self._cover.held[engine.target]
-        own = self._cover.measure_room(engine, held)
-        needed = own + CROWDED_SHARE * self._tokens
-        rooms = self._cover.rooms
+        own_capacity = self._cover.measure_capacity(engine, held)
+        min_capacity = own_capacity + OVERCOMMITTED_SHARE * self._goal
+        capacities = self._cover.rooms
         first, end = held.first, held.end
-        while spare > 0 and end - first > 1:
-            if rooms[first] >= needed:
+        while excess > 0 and end - first > 1:
+            if capacities[first] >= min_capacity:
                 first += 1
-            elif rooms[end - 1] >= needed:
+            elif capacities[end - 1] >= min_capacity:
                 end -= 1
             else:
                 break
-            spare -= 1
+            excess -= 1
         return LayerRange(first, end)
 
-    # The engines.
+    # Lookups.
 
-    def _list_settled(self) -> list[EngineSlot]:
-        """Return the engines that hold something and carry out no order."""
+    def _list_idle(self) -> list[EngineSlot]:
+        """Return the engines that hold layers and have no order in progress."""
         return [
             item
             for item in self._engines
             if item.target in self._cover.held and not item.is_busy
         ]
 
-    def _list_free(self, also_changed: bool = False) -> list[EngineSlot]:
-        """Return those of them that this plan does not change yet."""
+    def _list_available(self, include_changed: bool = False) -> list[EngineSlot]:
+        """Return the idle engines; by default only those without a planned change."""
         return [
             item
-            for item in self._list_settled()
-            if also_changed or item.target not in self._changes
+            for item in self._list_idle()
+            if include_changed or item.target not in self._changes
         ]
 
-    def _kind(self, engine: EngineSlot) -> Accelerator:
+    def _accelerator(self, engine: EngineSlot) -> Accelerator:
         return self._model.accelerators[engine.accelerator]
 
-    def _size(self, engine: EngineSlot) -> int:
-        """Return the layers that an engine should hold where no other one does."""
-        return self._model.count_layers(self._kind(engine), self._tokens)
+    def _nominal_size(self, engine: EngineSlot) -> int:
+        """Return how many layers fit on an engine beside the capacity goal."""
+        return self._model.count_layers(self._accelerator(engine), self._goal)
 
-    def _change(self, engine: EngineSlot, layers: LayerRange) -> None:
+    def _assign(self, engine: EngineSlot, layers: LayerRange) -> None:
         self._cover.put(engine, layers)
         self._changes[engine.target] = layers
 
 
-def _count(layers: LayerRange | None) -> int:
+def _length(layers: LayerRange | None) -> int:
     return layers.end - layers.first if layers is not None else 0
 
 
-def _count_covered(held: LayerRange, first: int, end: int) -> int:
-    """Return the layers at one end of a range that another range holds too."""
-    at_begin = min(held.end, end) - held.first if first <= held.first else 0
+def _count_overlap_at_end(held: LayerRange, first: int, end: int) -> int:
+    """Return how many layers at one end of ``held`` another range holds too."""
+    at_start = min(held.end, end) - held.first if first <= held.first else 0
     at_end = held.end - max(held.first, first) if end >= held.end else 0
-    return max(0, at_begin, at_end)
+    return max(0, at_start, at_end)
 
 
-def _choose_step(model: ModelSpec) -> int:
-    """Return the most layers that an engine loads at once while requests run."""
+def _limit_added(model: ModelSpec) -> int:
+    """Return the most layers that one order may add while requests run."""
     if model.load_seconds <= 0.0:
         return model.layers
-    return max(1, int(STEP_SECONDS * model.layers / model.load_seconds))
+    return max(1, int(MAX_LOAD_SECONDS * model.layers / model.load_seconds))
--- a/marigoldswitch/tests/test_layouts.py
+++ b/marigoldswitch/tests/test_layouts.py
@@ -1,14 +1,14 @@
-"""Layouts use every engine, hold the whole model everywhere and close holes first."""
+"""Layouts use every engine, hold the model in each data centre and close holes."""
 
 import random
 
 import pytest
 
 from marigoldswitch.core.catalogue import LayerRange
-from marigoldswitch.core.engine_groups import TOKENS, choose_tokens
+from marigoldswitch.core.engine_groups import CAPACITY_GOALS, choose_capacity_goal
 from marigoldswitch.core.ids import DataCentre, TargetId
 from marigoldswitch.core.layer_cover import EngineSlot
-from marigoldswitch.core.layouts import CROWDED_SHARE, plan_layout
+from marigoldswitch.core.layouts import OVERCOMMITTED_SHARE, plan_layout
 from marigoldswitch.core.models import Accelerator, ModelSpec
 
 KINDS = {
@@ -56,7 +56,7 @@
     ]
 
 
-def count(layers):
+def length(layers):
     return layers.end - layers.first
 
 
@@ -81,34 +81,34 @@
     assert set(layout) == {item.target for item in build_engines(site)}
 
 
-def measure_rooms(held, site, centre):
-    """Return the memory that a data centre has at each layer, in tokens of context."""
-    rooms = [0.0] * MODEL.layers
+def measure_capacities(held, site, centre):
+    """Return the capacity of each layer in a data centre, in context tokens."""
+    capacities = [0.0] * MODEL.layers
     for engine in build_engines(site, held):
         if engine.data_centre == centre and engine.layers is not None:
             kind = KINDS[engine.accelerator]
             for layer in range(engine.layers.first, engine.layers.end):
-                rooms[layer] += MODEL.count_tokens(kind, engine.layers)
-    return rooms
+                capacities[layer] += MODEL.count_tokens(kind, engine.layers)
+    return capacities
 
 
-def test_all_layers_have_memory_for_as_many_requests(site):
-    """A data centre carries what its scarcest layer has memory for.
+def test_all_layers_reach_the_capacity_goal(site):
+    """The layer with the least memory limits the requests of a data centre.
 
-    With one size for all engines of a kind the scarcest layer had memory for 33,000 to
-    58,000 tokens on these sites, others for three times as many.
+    With ranges of equal length for all engines of a kind, that layer had memory for
+    33,000 to 58,000 tokens on these sites, and others for three times as many.
     """
     layout = plan_layout(MODEL, build_engines(site))
     for centre in site:
         engines = [item for item in build_engines(site) if item.data_centre == centre]
-        tokens = choose_tokens(MODEL, engines)
-        assert min(measure_rooms(layout, site, centre)) >= tokens
+        tokens = choose_capacity_goal(MODEL, engines)
+        assert min(measure_capacities(layout, site, centre)) >= tokens
 
 
-def count_sizes(site, centre, kinds=tuple(KINDS)):
-    """Return the layers that engines of some kinds hold if nobody else holds them."""
+def count_nominal_layers(site, centre, kinds=tuple(KINDS)):
+    """Return how many layers engines of some kinds hold beside the capacity goal."""
     engines = [item for item in build_engines(site) if item.data_centre == centre]
-    tokens = choose_tokens(MODEL, engines)
+    tokens = choose_capacity_goal(MODEL, engines)
     return sum(
         MODEL.count_layers(KINDS[item.accelerator], tokens)
         for item in engines
@@ -116,23 +116,25 @@
     )
 
 
-def test_memory_beyond_that_goes_into_second_holders(site):
+def test_spare_memory_holds_second_copies(site):
     layout = plan_layout(MODEL, build_engines(site))
     for centre in site:
         doubled = MODEL.layers - count_copies(layout, centre).count(1)
-        assert doubled >= min(MODEL.layers, count_sizes(site, centre) - MODEL.layers)
+        assert doubled >= min(
+            MODEL.layers, count_nominal_layers(site, centre) - MODEL.layers
+        )
 
 
-def test_quick_engines_hold_the_first_copy_of_each_layer():
+def test_fast_engines_hold_the_first_copy_of_each_layer():
     layout = plan_layout(MODEL, build_engines(MOSTLY_SMALL))
     for centre in MOSTLY_SMALL:
         quick = {name: item for name, item in layout.items() if "small" not in name}
         held = MODEL.layers - count_copies(quick, centre).count(0)
-        most = count_sizes(MOSTLY_SMALL, centre, ("large", "middle", "quick"))
+        most = count_nominal_layers(MOSTLY_SMALL, centre, ("large", "middle", "quick"))
         assert held >= min(MODEL.layers, most)
 
 
-def test_layout_that_stands_is_left_alone(site):
+def test_planning_a_complete_layout_again_changes_nothing(site):
     layout = plan_layout(MODEL, build_engines(site))
     assert plan_layout(MODEL, build_engines(site, layout)) == {}
 
@@ -177,13 +179,13 @@
     hole = find_hole(held, "a")
     changes = plan_layout(MODEL, build_engines(MOSTLY_SMALL, held))
     taken = set(range(changes[lost].first, changes[lost].end))
-    # A step of 1.4 s, and not the 4 s that all it can hold would take to load.
+    # One order loads for at most 1.4 s; filling the engine would take 4 s.
     assert len(taken) == 8
     assert len(taken & set(hole)) == min(8, len(hole))
 
 
 def close_hole(site, layout, lost):
-    """Return the plans that it takes to close the hole that a lost engine leaves."""
+    """Return how many plans close the hole of a lost engine; ``None`` if ten don't."""
     held = {name: item for name, item in layout.items() if name != lost}
     for number in range(10):
         if not find_hole(held, lost.split("-")[0]):
@@ -197,15 +199,15 @@
 
 
 def test_hole_is_closed_though_no_engine_is_empty(site):
-    """The engines that come back are seconds away; the requests are not."""
+    """Requests can't wait for the seconds until a lost engine returns."""
     layout = plan_layout(MODEL, build_engines(site))
     for lost in list_single_holders(layout, site):
-        # A large engine leaves more than its neighbours may take in one step.
+        # The layers of a large engine are too many for one order to each neighbour.
         most = 4 if "large" in lost else 1
         assert close_hole(site, layout, lost) <= most
 
 
-def test_neighbours_give_back_what_they_took_once_others_hold_it():
+def test_neighbours_release_extra_layers_once_others_hold_them():
     layout = plan_layout(MODEL, build_engines(MOSTLY_SMALL))
     lost = next(
         name
@@ -219,12 +221,12 @@
     held |= plan_layout(MODEL, engines)
     for _ in range(6):
         held |= plan_layout(MODEL, build_engines(MOSTLY_SMALL, held))
-    rooms = measure_rooms(held, MOSTLY_SMALL, "b")
-    assert min(rooms) >= CROWDED_SHARE * TOKENS[0]
+    capacities = measure_capacities(held, MOSTLY_SMALL, "b")
+    assert min(capacities) >= OVERCOMMITTED_SHARE * CAPACITY_GOALS[0]
 
 
-def test_engines_with_memory_enough_keep_what_another_one_holds_too():
-    kind = Accelerator("roomy", 100 * 80 + 0.1 * 80 * 0.6 * TOKENS[0], 2.0, 2.0)
+def test_engines_with_enough_memory_keep_second_copies():
+    kind = Accelerator("roomy", 100 * 80 + 0.1 * 80 * 0.6 * CAPACITY_GOALS[0], 2.0, 2.0)
     model = ModelSpec(
         80, 100.0, 0.1, 1e-3, 1e-5, 2e-8, 1e-5, 1.0, 5, accelerators={"roomy": kind}
     )
@@ -235,7 +237,7 @@
     assert plan_layout(model, engines) == {}
 
 
-def test_engine_that_carries_out_an_order_gets_no_other():
+def test_busy_engine_gets_no_further_order():
     layout = plan_layout(MODEL, build_engines(MOSTLY_SMALL))
     lost = next(
         name
@@ -251,15 +253,15 @@
     assert plan_layout(MODEL, busy) == {}
 
 
-def test_engine_is_widened_once_its_first_step_is_held(layout):
+def test_engine_gets_more_layers_once_its_first_load_is_done(layout):
     name = TargetId("hobart-middle-0")
     first = layout[name].first
     held = {**layout, name: LayerRange(first, first + 8)}
     changes = plan_layout(MODEL, build_engines(MIXED, held))
-    assert count(changes[name]) > 8
+    assert length(changes[name]) > 8
 
 
-def test_hole_that_neighbours_have_no_memory_for_takes_an_engine_that_can_be_spared(
+def test_spare_engine_closes_a_hole_too_large_for_its_neighbours(
     layout,
 ):
     engines = [item for item in build_engines() if item.data_centre == "hobart"]
@@ -273,8 +275,8 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_losses_and_returns_in_any_order_leave_no_hole_that_memory_could_close(seed):
-    """A day of engines that come, go and are loaded late, on a site drawn at random."""
+def test_random_losses_and_returns_leave_no_hole_while_memory_suffices(seed):
+    """Engines of a random site are lost and return empty, in random order."""
     source = random.Random(seed)
     kinds = {
         "large": source.randint(1, 2),
@@ -298,18 +300,19 @@
             assert MODEL.fits(KINDS[target.split("-")[1]], layers)
             held[target] = layers
         spare = sum(
-            MODEL.count_layers(KINDS[item.accelerator], TOKENS[0]) for item in now
+            MODEL.count_layers(KINDS[item.accelerator], CAPACITY_GOALS[0])
+            for item in now
         )
         if spare >= 1.5 * MODEL.layers:
             assert find_hole(held, "a") == []
 
 
-def test_unknown_accelerator_is_left_out():
+def test_engine_with_unknown_accelerator_is_ignored():
     slot = EngineSlot(TargetId("x"), DataCentre("hobart"), "unheard", None)
     assert plan_layout(MODEL, [slot]) == {}
 
 
-def test_site_that_is_short_of_memory_still_holds_the_model():
+def test_site_short_of_memory_still_holds_the_model():
     engines = [
         EngineSlot(TargetId(f"s{index}"), DataCentre("hobart"), "small", None)
         for index in range(8)
@@ -319,8 +322,8 @@
     assert covered == set(range(80))
 
 
-def test_hole_that_its_neighbours_have_memory_for_moves_no_engine_with_first_layers():
-    """One would wait for all streams that it has begun before it loads others."""
+def test_hole_that_fits_its_neighbours_moves_no_engine_with_first_layers():
+    """An engine with the first layers loads others only after its own streams end."""
     held = {
         "a-quick-0": LayerRange(0, 7),
         "a-quick-1": LayerRange(0, 7),
