--- a/marigoldswitch/core/path_search.py
+++ b/marigoldswitch/core/path_search.py
@@ -1,4 +1,4 @@
-"""The cheapest way of a request over some layers, from boundary to boundary."""
+"""Shortest-path search for the cheapest chain of engines over a range of layers."""
 
 import bisect
 import random
@@ -8,23 +8,28 @@
 from marigoldswitch.core.catalogue import LayerRange
 from marigoldswitch.core.ids import DataCentre, TargetId
 from marigoldswitch.core.stages import (
-    MOST_STAGES,
+    MAX_STAGES,
     Chain,
     Stage,
     StageOffer,
     count_crossings,
 )
 
-HOP_SECONDS = 0.0003
-"""Cost of one more stage for each token: a link's delay and the wait for its turn."""
-CROSSING_SECONDS = 0.004
-"""Cost of a link between data centres for each token: its delay is 0.5 ms, the rest is
-for what others wait meanwhile."""
+HOP_COST = 0.0003
+"""Seconds that each stage adds to a token: link delay and queueing at the engine."""
+CROSSING_COST = 0.004
+"""Seconds that a link between data centres adds to the cost of a token. Its delay is
+0.5 ms; the rest accounts for the requests that wait for the link meanwhile."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Step:
-    """How a boundary was reached."""
+class _Predecessor:
+    """The last stage of the cheapest path to a node.
+
+    :param start: boundary at which the stage begins.
+    :param data_centre: data centre of the stage before it.
+    :param offer: the engine that runs it.
+    """
 
     start: int
     data_centre: DataCentre
@@ -36,138 +41,178 @@
 
 
 class PathSearch:
-    """The cheapest way over some layers, from boundary to boundary."""
+    """Finds the cheapest path over a range of layers.
+
+    Nodes are layer boundaries, one for each data centre; edges are engines that run the
+    layers in between.
+
+    :param offers: the engines to choose from.
+    :param span: the layers to run.
+    :param jitter: largest random part of a cost, as a share of it.
+    :param max_fill: share of an engine's memory that may be used.
+    """
 
     def __init__(
         self,
         offers: Sequence[StageOffer],
         span: LayerRange,
-        source: random.Random,
+        rng: random.Random,
         jitter: float,
-        share: float,
+        max_fill: float,
     ) -> None:
         self._span = span
         self._offers = offers
-        self._rooms = [item.count_room(share) for item in offers]
-        self._costs = [item.cost * (1.0 + jitter * source.random()) for item in offers]
-        cuts = {span.first, span.end}
+        self._max_layers = [item.count_free_layers(max_fill) for item in offers]
+        self._costs = [item.cost * (1.0 + jitter * rng.random()) for item in offers]
+        boundaries = {span.first, span.end}
         for item in offers:
-            cuts |= {item.layers.first, item.layers.end}
-        self._cuts = sorted(cut for cut in cuts if span.first <= cut <= span.end)
-        self._begins = sorted({item.layers.first for item in offers} | {span.end})
-        """Boundaries at which another engine may take over before one ends."""
-        self._holders = self._list_holders()
-
-    def _list_holders(self) -> dict[int, list[int]]:
-        """Return which offers may be entered at each boundary."""
-        holders: dict[int, list[int]] = {cut: [] for cut in self._cuts}
+            boundaries |= {item.layers.first, item.layers.end}
+        self._boundaries = sorted(
+            item for item in boundaries if span.first <= item <= span.end
+        )
+        self._takeover_boundaries = sorted(
+            {item.layers.first for item in offers} | {span.end}
+        )
+        """Boundaries at which a stage may end before the last layer of its engine."""
+        self._offers_at = self._index_offers()
+
+    def _index_offers(self) -> dict[int, list[int]]:
+        """Return, for each boundary, the indexes of the offers that can start there."""
+        offers_at: dict[int, list[int]] = {item: [] for item in self._boundaries}
         for index, offer in enumerate(self._offers):
-            low = bisect.bisect_left(self._cuts, offer.layers.first)
-            high = bisect.bisect_left(self._cuts, offer.layers.end)
-            for cut in self._cuts[low:high]:
-                holders[cut].append(index)
-        return holders
-
-    def run(self, centre_before: DataCentre | None) -> "Way | None":
-        """Return the cheapest way, or ``None`` where there is none."""
+            low = bisect.bisect_left(self._boundaries, offer.layers.first)
+            high = bisect.bisect_left(self._boundaries, offer.layers.end)
+            for boundary in self._boundaries[low:high]:
+                offers_at[boundary].append(index)
+        return offers_at
+
+    def run(self, previous_centre: DataCentre | None) -> "LayerPath | None":
+        """Return the cheapest path, or ``None`` if there is none.
+
+        :param previous_centre: data centre of the stage before the range, if any.
+        """
         span = self._span
-        begins = {item.data_centre for item in self._offers}
-        if centre_before is not None:
-            begins = {centre_before}
+        entry_centres = {item.data_centre for item in self._offers}
+        if previous_centre is not None:
+            entry_centres = {previous_centre}
         best: dict[int, dict[DataCentre, float]]
-        best = {span.first: dict.fromkeys(sorted(begins), 0.0)}
-        steps: dict[_Node, _Step] = {}
-        for start in self._cuts[:-1]:
+        best = {span.first: dict.fromkeys(sorted(entry_centres), 0.0)}
+        predecessors: dict[_Node, _Predecessor] = {}
+        for start in self._boundaries[:-1]:
             reached = best.get(start)
             if reached is None:
                 continue
-            for index in self._holders[start]:
+            for index in self._offers_at[start]:
                 offer = self._offers[index]
-                entry, centre = _enter(reached, offer.data_centre)
-                before = steps.get((start, centre))
-                if before is None or before.offer is not offer:
-                    self._leave(index, start, entry, centre, best, steps)
+                entry_cost, centre = _choose_entry(reached, offer.data_centre)
+                predecessor = predecessors.get((start, centre))
+                if predecessor is None or predecessor.offer is not offer:
+                    self._relax(index, start, entry_cost, centre, best, predecessors)
         ends = best.get(span.end)
         if not ends:
             return None
         cost, centre = min((cost, centre) for centre, cost in ends.items())
-        return Way(steps, (span.end, centre), cost, self._rooms_by_name())
+        return LayerPath(
+            predecessors, (span.end, centre), cost, self._max_layers_by_target()
+        )
 
-    def _leave(
+    def _relax(
         self,
         index: int,
         start: int,
-        entry: float,
+        entry_cost: float,
         centre: DataCentre,
         best: dict[int, dict[DataCentre, float]],
-        steps: dict[_Node, _Step],
+        predecessors: dict[_Node, _Predecessor],
     ) -> None:
-        """Note how far an engine brings a request that enters it at a boundary."""
+        """Update the cheapest paths with one engine that starts at a boundary.
+
+        :param index: of the engine's offer.
+        :param entry_cost: cost of the path up to the start of the stage.
+        :param centre: data centre of the stage before.
+        """
         offer = self._offers[index]
-        last = min(offer.layers.end, self._span.end, start + self._rooms[index])
-        for end in self._list_ends(start, last, offer.layers.end):
-            total = entry + (end - start) * self._costs[index]
+        furthest = min(
+            offer.layers.end, self._span.end, start + self._max_layers[index]
+        )
+        for end in self._list_ends(start, furthest, offer.layers.end):
+            total = entry_cost + (end - start) * self._costs[index]
             known = best.setdefault(end, {})
             if total < known.get(offer.data_centre, float("inf")):
                 known[offer.data_centre] = total
-                steps[(end, offer.data_centre)] = _Step(start, centre, offer)
+                predecessors[(end, offer.data_centre)] = _Predecessor(
+                    start, centre, offer
+                )
+
+    def _list_ends(self, start: int, furthest: int, held_end: int) -> list[int]:
+        """Return the boundaries at which a stage may end.
 
-    def _list_ends(self, start: int, last: int, own: int) -> list[int]:
-        """Return the boundaries at which a request may leave an engine.
+        An engine's cost is the same for each of its layers, so only its own end and the
+        first layers of other engines need to be considered.
 
-        Costs are the same for each layer: it is cheapest to leave where the engine
-        ends or where the next one begins.
+        :param furthest: last boundary that the engine can reach.
+        :param held_end: end of the layers that it offers.
         """
-        low = bisect.bisect_right(self._begins, start)
-        high = bisect.bisect_right(self._begins, last)
-        ends = self._begins[low:high]
-        if last == own and (not ends or ends[-1] != last):
-            ends.append(last)
+        low = bisect.bisect_right(self._takeover_boundaries, start)
+        high = bisect.bisect_right(self._takeover_boundaries, furthest)
+        ends = self._takeover_boundaries[low:high]
+        if furthest == held_end and (not ends or ends[-1] != furthest):
+            ends.append(furthest)
         return ends
 
-    def _rooms_by_name(self) -> dict[TargetId, int]:
+    def _max_layers_by_target(self) -> dict[TargetId, int]:
         names = (item.target for item in self._offers)
-        return dict(zip(names, self._rooms, strict=True))
+        return dict(zip(names, self._max_layers, strict=True))
 
 
-def _enter(
+def _choose_entry(
     reached: Mapping[DataCentre, float], centre: DataCentre
 ) -> tuple[float, DataCentre]:
-    """Return what it costs to enter an engine, and where the request comes from."""
-    cost, before = min(
-        (cost + (0.0 if name == centre else CROSSING_SECONDS), name)
+    """Return the lowest cost to enter an engine and the data centre it is reached from.
+
+    :param reached: cost of the boundary for each data centre.
+    :param centre: the engine's data centre.
+    """
+    cost, previous = min(
+        (cost + (0.0 if name == centre else CROSSING_COST), name)
         for name, cost in reached.items()
     )
-    return cost + HOP_SECONDS, before
+    return cost + HOP_COST, previous
 
 
-class Way:
-    """The steps that led to the last boundary."""
+class LayerPath:
+    """The stages of the cheapest path, traced back from its last node.
+
+    :param max_layers: most layers that each target can run of the request.
+    """
 
     def __init__(
         self,
-        steps: Mapping[_Node, _Step],
+        predecessors: Mapping[_Node, _Predecessor],
         node: _Node,
         cost: float,
-        rooms: Mapping[TargetId, int],
+        max_layers: Mapping[TargetId, int],
     ) -> None:
         self._cost = cost
-        self._rooms = rooms
+        self._max_layers = max_layers
         self._stages: list[Stage] = []
         self._centres: list[DataCentre] = []
-        while node in steps:
-            step = steps[node]
-            layers = LayerRange(step.start, node[0])
-            stage = Stage(step.offer.target, step.offer.address, layers)
+        while node in predecessors:
+            predecessor = predecessors[node]
+            layers = LayerRange(predecessor.start, node[0])
+            stage = Stage(predecessor.offer.target, predecessor.offer.address, layers)
             self._stages.append(stage)
-            self._centres.append(step.offer.data_centre)
-            node = (step.start, step.data_centre)
+            self._centres.append(predecessor.offer.data_centre)
+            node = (predecessor.start, predecessor.data_centre)
         self._stages.reverse()
         self._centres.reverse()
-        self._join_repeats()
+        self._merge_repeats()
+
+    def _merge_repeats(self) -> None:
+        """Merge two stages of one engine and all in between, as it holds these layers.
 
-    def _join_repeats(self) -> None:
-        """Leave out what lies between two stages of one engine, which holds it too."""
+        Stages stay apart if the engine has no memory for all of the layers.
+        """
         first: dict[TargetId, int] = {}
         index = 0
         while index < len(self._stages):
@@ -175,10 +220,10 @@
             known = first.setdefault(stage.target, index)
             if known < index:
                 layers = LayerRange(self._stages[known].layers.first, stage.layers.end)
-                if layers.end - layers.first > self._rooms[stage.target]:
+                if layers.end - layers.first > self._max_layers[stage.target]:
                     return
-                joined = Stage(stage.target, stage.address, layers)
-                self._stages[known : index + 1] = [joined]
+                merged = Stage(stage.target, stage.address, layers)
+                self._stages[known : index + 1] = [merged]
                 del self._centres[known + 1 : index + 1]
                 first = {item.target: at for at, item in enumerate(self._stages)}
                 index = known
@@ -186,12 +231,12 @@
 
     @property
     def has_repeats(self) -> bool:
-        """Tell whether an engine still comes twice, for want of memory."""
+        """Return whether an engine still has two stages, for lack of memory."""
         return len({item.target for item in self._stages}) < len(self._stages)
 
-    def build(self) -> Chain | None:
-        """Return the chain, unless engines would not take it."""
-        if self.has_repeats or len(self._stages) > MOST_STAGES:
+    def build_chain(self) -> Chain | None:
+        """Return the chain, or ``None`` if engines would refuse it."""
+        if self.has_repeats or len(self._stages) > MAX_STAGES:
             return None
         crossings = count_crossings(self._centres)
         return Chain(tuple(self._stages), self._cost, crossings)
--- a/marigoldswitch/core/paths.py
+++ b/marigoldswitch/core/paths.py
@@ -1,9 +1,9 @@
-"""Which engines a model request passes through: a shortest path over the layers.
+"""Chooses the chain of engines for a model request, as a shortest path over the layers.
 
-Load it answers: engines of several speeds, each with some layers and little memory for
-requests. Fixed chains waste what the best of them has left and die with any of their
-stages. Here each request gets the chain that is quickest now, cut at any boundary that
-some engine begins or ends at, among engines that have memory for it.
+Engines differ in speed, and each holds some layers and has little memory for requests.
+Fixed chains would waste the remaining memory of their best engines and fail with any of
+their stages. Instead each request gets the chain that is fastest now, among engines
+with memory for it; stages may begin and end wherever the range of an engine does.
 """
 
 import random
@@ -13,54 +13,54 @@
 from marigoldswitch.core.ids import DataCentre, TargetId
 from marigoldswitch.core.path_search import PathSearch
 from marigoldswitch.core.stages import (
-    FULL_SHARE,
-    MOST_STAGES,
+    MAX_FILL,
+    MAX_STAGES,
     Chain,
     Stage,
     StageOffer,
     count_crossings,
 )
 
-FILL_SHARES = (0.7, 0.85, FULL_SHARE)
-"""Shares up to which engines are filled in turn, the next one only where no chain has
-room below. Dozens of hosts that fill the quickest engine to the brim by counts that are
-0.2 s old overfill it, and requests find no memory where they are sent."""
-JITTER = 0.1
-JITTER_A_HOST = 0.03
-MOST_JITTER = 1.0
-"""Random part of a cost, growing with the hosts of a data centre: those that see the
-same loads must not all choose the same engine in the time that their counts need to
-reach each other."""
-FAR_FACTOR = 1.3
-"""Cost of a chain in another data centre than the caller's host, if both have room."""
+FILL_LIMITS = (0.7, 0.85, MAX_FILL)
+"""Shares of an engine's memory that may be used, tried in this order; the next one only
+if no chain has room below. If dozens of hosts filled the fastest engine completely by
+load data that is 0.2 s old, they would overfill it: requests would find no memory."""
+BASE_JITTER = 0.1
+JITTER_PER_HOST = 0.03
+MAX_JITTER = 1.0
+"""Largest random part of a cost, as a share of it. It grows with the hosts of a data
+centre: hosts that see the same loads must not all choose the same engine before they
+learn of each other's choices."""
+REMOTE_COST_FACTOR = 1.3
+"""Factor on the cost of a chain outside the data centre of this host."""
 
 
 def find_chain(
     offers: Sequence[StageOffer],
     span: LayerRange,
-    source: random.Random,
-    centre_before: DataCentre | None = None,
-    jitter: float = JITTER,
-    share: float = FULL_SHARE,
-    allow_parts: bool = True,
+    rng: random.Random,
+    previous_centre: DataCentre | None = None,
+    jitter: float = BASE_JITTER,
+    max_fill: float = MAX_FILL,
+    allow_partial: bool = True,
 ) -> Chain | None:
-    """Return the cheapest chain with room over some layers, or ``None``.
+    """Return the cheapest chain over a range of layers, or ``None`` if none has room.
 
-    Engines that have memory for a part of their layers only are the last resort: by
-    counts that are 0.2 s old dozens of hosts would overfill what is nearly full.
+    Engines with memory for only a part of their layers are the last resort: dozens of
+    hosts with load data that is 0.2 s old would overfill engines that are nearly full.
 
-    :param span: the layers that it must run.
-    :param share: of an engine's memory that is given out.
-    :param jitter: random part of costs; see :func:`choose_jitter`.
-    :param centre_before: data centre of the stage before it, if there is one.
-    :param allow_parts: use engines with memory for a part of their layers at the last.
+    :param span: the layers to run.
+    :param previous_centre: data centre of the stage before the range, if any.
+    :param jitter: largest random part of a cost; see :func:`choose_jitter`.
+    :param max_fill: share of an engine's memory that may be used.
+    :param allow_partial: whether to try engines with memory for a part of their layers.
     """
-    whole = [item for item in offers if item.has_room(share)]
-    way = PathSearch(whole, span, source, jitter, share).run(centre_before)
-    if way is None and allow_parts:
-        usable = [item for item in offers if item.count_room(share) > 0]
-        way = PathSearch(usable, span, source, jitter, share).run(centre_before)
-    return way.build() if way is not None else None
+    whole = [item for item in offers if item.has_room(max_fill)]
+    path = PathSearch(whole, span, rng, jitter, max_fill).run(previous_centre)
+    if path is None and allow_partial:
+        usable = [item for item in offers if item.count_free_layers(max_fill) > 0]
+        path = PathSearch(usable, span, rng, jitter, max_fill).run(previous_centre)
+    return path.build_chain() if path is not None else None
 
 
 def mend_chain(
@@ -68,64 +68,68 @@
     lost: Collection[TargetId],
     offers: Sequence[StageOffer],
     centres: Mapping[TargetId, DataCentre],
-    source: random.Random,
+    rng: random.Random,
 ) -> Chain | None:
-    """Return a chain in which others take the place of lost stages, or ``None``.
+    """Return a chain in which other engines replace the lost stages, or ``None``.
 
-    The stages that stay keep what they have read of the request; those that come in
-    read it anew, so that as few as can be are replaced.
+    Remaining stages keep the KV cache of the request; new ones must process its context
+    again, so only lost stages are replaced.
 
-    :param lost: targets to do without; nothing mends the loss of the first stage.
+    :param lost: targets to replace; the first stage of a chain can't be replaced.
     :param centres: data centre of each target of the chain.
     """
     if stages[0].target in lost:
         return None
-    places = {**centres, **{item.target: item.data_centre for item in offers}}
+    centre_of = {**centres, **{item.target: item.data_centre for item in offers}}
     kept = {item.target for item in stages if item.target not in lost}
-    fresh = [item for item in offers if item.target not in kept]
-    mended: list[Stage] = []
+    candidates = [item for item in offers if item.target not in kept]
+    repaired: list[Stage] = []
     cost = 0.0
-    for stage in _join_lost(stages, lost):
+    for stage in _merge_lost(stages, lost):
         if stage.target not in lost:
-            mended.append(stage)
+            repaired.append(stage)
             continue
-        before = places[mended[-1].target]
-        part = find_chain(fresh, stage.layers, source, before)
+        previous_centre = centre_of[repaired[-1].target]
+        part = find_chain(candidates, stage.layers, rng, previous_centre)
         if part is None:
             return None
-        mended += part.stages
+        repaired += part.stages
         cost += part.cost
         taken = {item.target for item in part.stages}
-        fresh = [item for item in fresh if item.target not in taken]
-    if len(mended) > MOST_STAGES:
+        candidates = [item for item in candidates if item.target not in taken]
+    if len(repaired) > MAX_STAGES:
         return None
-    crossings = count_crossings([places[item.target] for item in mended])
-    return Chain(tuple(mended), cost, crossings)
+    crossings = count_crossings([centre_of[item.target] for item in repaired])
+    return Chain(tuple(repaired), cost, crossings)
 
 
 def find_near_chain(
     offers: Iterable[StageOffer],
     layers: int,
     home: DataCentre,
-    source: random.Random,
-    jitter: float = JITTER,
+    rng: random.Random,
+    jitter: float = BASE_JITTER,
 ) -> Chain | None:
-    """Return the cheapest chain with room inside one data centre, or ``None``.
+    """Return the cheapest chain within one data centre, or ``None`` if none has room.
 
-    Engines that are filled less go before quicker ones, and those at home before those
-    of other data centres unless only the brim is left there: a cut between the two
-    would break the stream.
+    Less filled engines come before faster ones. The data centre of this host comes
+    before others until its engines are nearly full, as a network partition between two
+    data centres would break the stream.
+
+    :param layers: number of layers of the model.
+    :param home: data centre of this host.
+    :param jitter: largest random part of a cost; see :func:`choose_jitter`.
     """
     grouped: dict[DataCentre, list[StageOffer]] = {}
     for item in offers:
         grouped.setdefault(item.data_centre, []).append(item)
-    at_home = {home: grouped.get(home, [])}
-    turns = [(at_home, share, False) for share in FILL_SHARES[:-1]]
-    turns += [(grouped, share, False) for share in FILL_SHARES]
-    turns.append((grouped, FULL_SHARE, True))
-    for centres, share, allow_parts in turns:
+    local_offers = {home: grouped.get(home, [])}
+    attempts = [(local_offers, max_fill, False) for max_fill in FILL_LIMITS[:-1]]
+    attempts += [(grouped, max_fill, False) for max_fill in FILL_LIMITS]
+    attempts.append((grouped, MAX_FILL, True))
+    for centres, max_fill, allow_partial in attempts:
         chain = _find_cheapest(
-            centres, layers, home, source, jitter, share, allow_parts
+            centres, layers, home, rng, jitter, max_fill, allow_partial
         )
         if chain is not None:
             return chain
@@ -136,29 +140,34 @@
     grouped: Mapping[DataCentre, Sequence[StageOffer]],
     layers: int,
     home: DataCentre,
-    source: random.Random,
+    rng: random.Random,
     jitter: float,
-    share: float,
-    allow_parts: bool,
+    max_fill: float,
+    allow_partial: bool,
 ) -> Chain | None:
-    """Return the cheapest of the chains that each stay in one data centre."""
+    """Return the cheapest chain that stays in one of some data centres."""
     best: Chain | None = None
     best_cost = float("inf")
     for centre, items in grouped.items():
         span = LayerRange(0, layers)
         chain = find_chain(
-            items, span, source, jitter=jitter, share=share, allow_parts=allow_parts
+            items,
+            span,
+            rng,
+            jitter=jitter,
+            max_fill=max_fill,
+            allow_partial=allow_partial,
         )
         if chain is None:
             continue
-        cost = chain.cost if centre == home else chain.cost * FAR_FACTOR
+        cost = chain.cost if centre == home else chain.cost * REMOTE_COST_FACTOR
         if cost < best_cost:
             best, best_cost = chain, cost
     return best
 
 
 def has_chain(ranges: Sequence[LayerRange], layers: int) -> bool:
-    """Tell whether some layer ranges cover a whole model among them."""
+    """Return whether layer ranges together cover all layers of a model."""
     reached = 0
     for item in sorted(ranges, key=lambda item: item.first):
         if item.first > reached:
@@ -168,21 +177,21 @@
 
 
 def choose_jitter(hosts: int) -> float:
-    """Return the random part of costs.
+    """Return the largest random part of a cost, as a share of it.
 
-    :param hosts: that choose among the same engines.
+    :param hosts: number of hosts that choose among the same engines.
     """
-    return min(MOST_JITTER, JITTER + JITTER_A_HOST * max(0, hosts - 1))
+    return min(MAX_JITTER, BASE_JITTER + JITTER_PER_HOST * max(0, hosts - 1))
 
 
-def _join_lost(stages: Sequence[Stage], lost: Collection[TargetId]) -> list[Stage]:
-    """Return the stages, with neighbours that are lost joined to one."""
-    joined: list[Stage] = []
+def _merge_lost(stages: Sequence[Stage], lost: Collection[TargetId]) -> list[Stage]:
+    """Return the stages, with adjacent lost stages merged into one."""
+    merged: list[Stage] = []
     for stage in stages:
-        last = joined[-1] if joined else None
+        last = merged[-1] if merged else None
         if last is not None and last.target in lost and stage.target in lost:
             layers = LayerRange(last.layers.first, stage.layers.end)
-            joined[-1] = Stage(last.target, last.address, layers)
+            merged[-1] = Stage(last.target, last.address, layers)
         else:
-            joined.append(stage)
-    return joined
+            merged.append(stage)
+    return merged
--- a/marigoldswitch/core/stages.py
+++ b/marigoldswitch/core/stages.py
@@ -1,4 +1,4 @@
-"""The stages of a chain, and what engines offer to take part in one."""
+"""Stages of a chain, and the engines that offer to run them."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,26 +6,28 @@
 from marigoldswitch.core.catalogue import LayerRange
 from marigoldswitch.core.ids import DataCentre, TargetId
 
-PRESSURE = 2.0
-"""Cost of a full engine over that of an empty one, less one: requests spread over
-engines of like speed before any is full, and a twice as fast one is filled to 0.7
-first. An engine that runs out of memory restarts its newest request."""
-FULL_SHARE = 0.95
-"""Share of an engine's memory that is given out: lengths are estimates."""
-FIRST_SHARE = 0.9
-"""Share of an engine's slots up to which it may be the first of a chain, which is what
-takes one. What comes beyond them waits there unseen: the hosts of a data centre send
-some 6 requests in the 0.25 s by which their counts are old, and hardly more begin than
-end."""
-MOST_STAGES = 32
-"""Longest chain that engines take."""
+FULL_ENGINE_SURCHARGE = 2.0
+"""Relative extra cost of a full engine. Requests spread over engines of equal speed
+before any is full, and an engine twice as fast as others is filled to 0.7 first. An
+engine that runs out of memory restarts its newest request."""
+MAX_FILL = 0.95
+"""Share of an engine's memory that may be used; the rest is a reserve, as the lengths
+of requests are estimates."""
+MAX_FIRST_STAGE_SHARE = 0.9
+"""Share of an engine's slots up to which it may run the first stage of a chain, which
+is what takes a slot. Requests beyond the slots queue in the engine, invisible to hosts.
+The hosts of a data centre send some 6 requests in 0.25 s, the age of their load data,
+in which about as many end."""
+MAX_STAGES = 32
+"""Most stages of a chain that engines accept."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """A part of a chain.
+    """One target of a chain and the layers that it runs.
 
-    :param layers: those that the target runs of this request.
+    :param address: of the target.
+    :param layers: the layers that the target runs for this request.
     """
 
     target: TargetId
@@ -35,10 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Chain:
-    """Stages that run all layers once, in order.
+    """Stages that run each layer once, in order.
 
-    :param cost: seconds for a token, with what is added for engines that fill up.
-    :param crossings: links between data centres that it passes.
+    :param cost: seconds for each token, weighted by how full the engines are.
+    :param crossings: number of links between data centres on the way.
     """
 
     stages: tuple[Stage, ...]
@@ -47,7 +49,7 @@
 
 
 def find_stage(stages: Sequence[Stage], address: str | None) -> TargetId:
-    """Return the target at an address of a chain; the first where it is not named."""
+    """Return the target of the stage with an address; the first target if none has."""
     for stage in stages:
         if stage.address == address:
             return stage.target
@@ -55,7 +57,7 @@
 
 
 def describe_stages(stages: Sequence[Stage]) -> list[str]:
-    """Return the stages of a chain, for the log."""
+    """Return the stages of a chain as strings for log lines."""
     return [
         f"{item.target}@{item.address}={item.layers.first}-{item.layers.end}"
         for item in stages
@@ -64,13 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StageOffer:
-    """An engine that may take part in a chain.
-
-    :param layers: those that it holds.
-    :param layer_seconds: that one layer adds to a token.
-    :param used: share of its memory for requests that is taken.
-    :param need: share that this request would take for each layer that it runs there.
-    :param expected: share that other hosts have probably taken since they last told.
+    """An engine that can run stages of a request.
+
+    :param layers: the layers that it offers.
+    :param layer_seconds: seconds that one layer takes for a token.
+    :param used_share: share of its memory for requests that is in use.
+    :param share_per_layer: share that this request takes for each layer it runs there.
+    :param expected_share: share that other hosts have probably taken since their last
+        report.
     """
 
     target: TargetId
@@ -78,45 +81,58 @@
     data_centre: DataCentre
     layers: LayerRange
     layer_seconds: float
-    used: float
-    need: float
-    expected: float = 0.0
+    used_share: float
+    share_per_layer: float
+    expected_share: float = 0.0
 
-    def count_room(self, share: float = FULL_SHARE) -> int:
-        """Return the layers that the request may run there.
+    def count_free_layers(self, max_fill: float = MAX_FILL) -> int:
+        """Return how many layers of the request the engine has memory for.
 
-        :param share: of its memory that is given out.
+        :param max_fill: share of its memory that may be used.
         """
         held = self.layers.end - self.layers.first
-        free = share - self.used
-        if self.used + held * self.need <= share:
+        free = max_fill - self.used_share
+        if self.used_share + held * self.share_per_layer <= max_fill:
             return held
-        return max(0, int(free / self.need)) if self.need > 0.0 else 0
+        return (
+            max(0, int(free / self.share_per_layer))
+            if self.share_per_layer > 0.0
+            else 0
+        )
 
-    def has_room(self, share: float = FULL_SHARE) -> bool:
-        """Tell whether it has memory for the request with all of its layers."""
-        return self.count_room(share) == self.layers.end - self.layers.first
+    def has_room(self, max_fill: float = MAX_FILL) -> bool:
+        """Return whether the engine has memory to run all of its layers."""
+        return self.count_free_layers(max_fill) == self.layers.end - self.layers.first
 
     @property
     def cost(self) -> float:
-        """Return the cost of one layer: its time, dearer as memory runs out."""
-        used = self.used + self.expected
-        return self.layer_seconds * (1.0 + PRESSURE * used * used)
+        """Return the cost of one layer: its seconds, weighted by memory use."""
+        used = self.used_share + self.expected_share
+        return self.layer_seconds * (1.0 + FULL_ENGINE_SURCHARGE * used * used)
 
 
-def choose_layers(layers: LayerRange, begun: int, slots: int) -> LayerRange | None:
-    """Return the layers that an engine offers: without the first if it has no slot.
+def choose_layers(
+    layers: LayerRange, first_stage_requests: int, slots: int
+) -> LayerRange | None:
+    """Return the layers that an engine offers: without the first if no slot is free.
 
-    :param begun: requests of which it is the first engine.
-    :param slots: such requests that it takes at once; 0 if it does not say.
+    :param first_stage_requests: running requests of which it runs the first stage.
+    :param slots: most requests of that kind at once; 0 if unknown.
     """
-    if layers.first > 0 or not slots or begun < FIRST_SHARE * slots:
+    if (
+        layers.first > 0
+        or not slots
+        or first_stage_requests < MAX_FIRST_STAGE_SHARE * slots
+    ):
         return layers
     return LayerRange(1, layers.end) if layers.end > 1 else None
 
 
 def count_crossings(centres: Sequence[DataCentre]) -> int:
-    """Return how often neighbours of a chain are in different data centres."""
+    """Return how often adjacent stages are in different data centres.
+
+    :param centres: data centre of each stage, in order.
+    """
     return sum(
         before != after for before, after in zip(centres, centres[1:], strict=False)
     )
--- a/marigoldswitch/tests/test_old_loads.py
+++ b/marigoldswitch/tests/test_old_loads.py
@@ -1,4 +1,4 @@
-"""Many hosts that know each other's loads late seldom send where no memory is left."""
+"""Many hosts with outdated load data seldom overfill an engine's memory."""
 
 import heapq
 import random
@@ -25,16 +25,21 @@
 )
 COUNTS = {"large": 2, "middle": 15, "small": 12}
 HOSTS = 30
-SUM_AGE = 0.2
-"""Seconds for which a sum of all hosts stands."""
+SUM_PERIOD = 0.2
+"""Seconds between two publications of the total load of all hosts."""
 
 
 def count_layers(layers):
     return layers.end - layers.first
 
 
-class DataCentrePlay:
-    """Hosts that choose among the engines of one data centre by sums and own counts."""
+class DataCentreSimulation:
+    """Simulates hosts that choose engines of one data centre with outdated load data.
+
+    Each host knows the last published totals and its own requests since then.
+
+    :param lost: number of engines that are missing.
+    """
 
     def __init__(self, seed, lost=0):
         self.source = random.Random(seed)
@@ -47,35 +52,38 @@
         kept = self.source.sample(engines, len(engines) - lost)
         self.engines = {item.target: item for item in kept if item.target in held}
         self.layers = {name: held[name] for name in self.engines}
-        self.room = {
+        self.capacity = {
             name: MODEL.measure_memory(KINDS[item.accelerator], held[name])
             for name, item in self.engines.items()
         }
         self.usage = Counter()
         self.requests = Counter()
-        self.told = {}
-        self.own = {}
-        self.ends = []
+        self.published = {}
+        self.unpublished = {}
+        self.completions = []
         self.counts = Counter()
 
-    def play(self, rate, seconds):
-        """Let requests come; count those that find no memory where they are sent."""
-        now = told_at = 0.0
+    def run(self, rate, seconds):
+        """Send requests at random times; return the share that finds no memory.
+
+        :param rate: requests a second.
+        """
+        now = publish_at = 0.0
         while now < seconds:
             now += self.source.expovariate(rate)
-            while self.ends and self.ends[0][0] <= now:
-                self.finish()
-            if now >= told_at:
-                told_at = now + SUM_AGE
-                self.tell()
+            while self.completions and self.completions[0][0] <= now:
+                self.complete_next()
+            if now >= publish_at:
+                publish_at = now + SUM_PERIOD
+                self.publish_loads()
             self.send(now, self.source.randrange(HOSTS))
         return self.counts["overfilled"] / self.counts["sent"]
 
-    def tell(self):
-        self.told = {
+    def publish_loads(self):
+        self.published = {
             name: Usage(self.requests[name], self.usage[name]) for name in self.engines
         }
-        self.own = {}
+        self.unpublished = {}
 
     def send(self, now, host):
         tokens = 200 + int(min(3000, self.source.lognormvariate(6.6, 0.6)))
@@ -90,9 +98,9 @@
             item.target: tokens * count_layers(item.layers) for item in chain.stages
         }
         for name, memory in taken.items():
-            known = self.own.get((host, name), NOTHING)
-            self.own[host, name] = known.plus(Usage(1, memory))
-        if any(self.usage[name] + taken[name] > self.room[name] for name in taken):
+            known = self.unpublished.get((host, name), NOTHING)
+            self.unpublished[host, name] = known.plus(Usage(1, memory))
+        if any(self.usage[name] + taken[name] > self.capacity[name] for name in taken):
             self.counts["overfilled"] += 1
             return
         steps = sum(
@@ -103,10 +111,10 @@
         for name, memory in taken.items():
             self.usage[name] += memory
             self.requests[name] += 1
-        heapq.heappush(self.ends, (now + took, sorted(taken.items())))
+        heapq.heappush(self.completions, (now + took, sorted(taken.items())))
 
-    def finish(self):
-        _, taken = heapq.heappop(self.ends)
+    def complete_next(self):
+        _, taken = heapq.heappop(self.completions)
         for name, memory in taken:
             self.usage[name] -= memory
             self.requests[name] -= 1
@@ -117,9 +125,9 @@
         return MODEL.estimate_step(kind, self.requests[name], context)
 
     def offer(self, name, host, tokens):
-        known = self.told[name].plus(self.own.get((host, name), NOTHING))
+        known = self.published[name].plus(self.unpublished.get((host, name), NOTHING))
         kind = KINDS[self.engines[name].accelerator]
-        room = self.room[name]
+        capacity = self.capacity[name]
         return StageOffer(
             name,
             f"{name}:80",
@@ -128,18 +136,18 @@
             MODEL.estimate_step(
                 kind, known.requests, known.memory / count_layers(self.layers[name])
             ),
-            known.memory / room,
-            tokens / room,
+            known.memory / capacity,
+            tokens / capacity,
         )
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_usual_traffic_of_thirty_hosts_seldom_overfills_an_engine(seed):
-    assert DataCentrePlay(seed).play(rate=55.0, seconds=6.0) <= 0.02
+    assert DataCentreSimulation(seed).run(rate=55.0, seconds=6.0) <= 0.02
 
 
 def test_traffic_after_the_loss_of_engines_mostly_finds_memory():
-    plays = [DataCentrePlay(seed, lost=5) for seed in range(1, 7)]
-    shares = [play.play(rate=55.0, seconds=6.0) for play in plays]
+    simulations = [DataCentreSimulation(seed, lost=5) for seed in range(1, 7)]
+    shares = [item.run(rate=55.0, seconds=6.0) for item in simulations]
     assert sum(shares) / len(shares) <= 0.03
-    assert sum(play.counts["refused"] for play in plays) <= 20
+    assert sum(item.counts["refused"] for item in simulations) <= 20
--- a/marigoldswitch/tests/test_paths.py
+++ b/marigoldswitch/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""Chains run every layer once and in order, among engines with room."""
+"""Chains run every layer once and in order, on engines with memory for the request."""
 
 import random
 
@@ -7,14 +7,14 @@
 from marigoldswitch.core.catalogue import LayerRange
 from marigoldswitch.core.ids import DataCentre, TargetId
 from marigoldswitch.core.paths import (
-    FILL_SHARES,
+    FILL_LIMITS,
     choose_jitter,
     find_chain,
     find_near_chain,
     has_chain,
     mend_chain,
 )
-from marigoldswitch.core.stages import FULL_SHARE, Stage, StageOffer
+from marigoldswitch.core.stages import MAX_FILL, Stage, StageOffer
 
 LAYERS = 8
 SPAN = LayerRange(0, LAYERS)
@@ -67,11 +67,11 @@
         held = by_name[stage.target].layers
         assert held.first <= stage.layers.first < stage.layers.end <= held.end
         run = stage.layers.end - stage.layers.first
-        assert run <= by_name[stage.target].count_room()
+        assert run <= by_name[stage.target].count_free_layers()
 
 
 @given(OFFERS, st.integers(0, 1000))
-def test_near_chain_stays_in_one_data_centre(offers, seed):
+def test_single_centre_chain_stays_in_one_data_centre(offers, seed):
     chain = find_near_chain(offers, LAYERS, DataCentre("a"), random.Random(seed))
     if chain is not None:
         by_name = {item.target: item.data_centre for item in offers}
@@ -80,7 +80,7 @@
 
 
 @given(OFFERS, st.integers(0, 1000), st.data())
-def test_mended_chain_keeps_what_is_not_lost(offers, seed, data):
+def test_repaired_chain_keeps_remaining_stages(offers, seed, data):
     source = random.Random(seed)
     chain = find_chain(offers, SPAN, source)
     if chain is None or len(chain.stages) < 2:
@@ -89,25 +89,25 @@
     lost = data.draw(st.sets(st.sampled_from(names), min_size=1))
     centres = {item.target: item.data_centre for item in offers}
     left = [item for item in offers if item.target not in lost]
-    mended = mend_chain(chain.stages, lost, left, centres, source)
-    if mended is None:
+    repaired = mend_chain(chain.stages, lost, left, centres, source)
+    if repaired is None:
         return
-    assert list_layers(mended.stages) == list(range(LAYERS))
-    assert mended.stages[0] == chain.stages[0]
+    assert list_layers(repaired.stages) == list(range(LAYERS))
+    assert repaired.stages[0] == chain.stages[0]
     kept = [item for item in chain.stages if item.target not in lost]
-    assert [item for item in mended.stages if item in kept] == kept
-    assert not lost & {item.target for item in mended.stages}
-    assert len({item.target for item in mended.stages}) == len(mended.stages)
+    assert [item for item in repaired.stages if item in kept] == kept
+    assert not lost & {item.target for item in repaired.stages}
+    assert len({item.target for item in repaired.stages}) == len(repaired.stages)
 
 
-def test_full_engines_are_passed_by():
-    full = offer("full", 0, LAYERS, used=FULL_SHARE)
+def test_full_engines_are_skipped():
+    full = offer("full", 0, LAYERS, used=MAX_FILL)
     slow = offer("slow", 0, LAYERS, seconds=0.009)
     chain = find_chain([full, slow], SPAN, random.Random(1))
     assert [item.target for item in chain.stages] == ["slow"]
 
 
-def test_quick_engine_is_filled_before_a_slow_one():
+def test_fast_engine_is_filled_before_a_slow_one():
     offers = [
         offer("quick", 0, LAYERS, seconds=0.001, used=0.5),
         offer("slow", 0, LAYERS, seconds=0.004),
@@ -116,7 +116,7 @@
     assert chain.stages[0].target == "quick"
 
 
-def test_requests_spread_over_like_engines_as_they_fill():
+def test_requests_spread_over_equal_engines_as_they_fill():
     used = {"x": 0.0, "y": 0.0}
     source = random.Random(1)
     for _ in range(100):
@@ -126,13 +126,13 @@
     assert abs(used["x"] - used["y"]) < 0.15
 
 
-def test_hole_in_one_data_centre_is_passed_over_a_link():
+def test_hole_in_one_data_centre_is_covered_by_another():
     offers = [offer("a1", 0, 4, "a"), offer("b1", 4, 8, "b"), offer("a2", 0, 4, "a")]
     assert find_near_chain(offers, LAYERS, DataCentre("a"), random.Random(1)) is None
     assert find_chain(offers, SPAN, random.Random(1)).crossings == 1
 
 
-def test_home_is_preferred_among_equals():
+def test_own_data_centre_is_preferred_at_equal_cost():
     offers = [offer("a1", 0, 8, "a"), offer("b1", 0, 8, "b")]
     for seed in range(20):
         chain = find_near_chain(offers, LAYERS, DataCentre("b"), random.Random(seed))
@@ -154,30 +154,30 @@
     ]
 
 
-def test_chain_whose_first_stage_is_lost_can_not_be_mended():
+def test_chain_that_lost_its_first_stage_cannot_be_repaired():
     stages = [Stage(TargetId("e0"), "e0:80", LayerRange(0, 8))]
     whole = offer("whole", 0, 8)
     centres = {TargetId("e0"): DataCentre("a")}
     assert mend_chain(stages, {"e0"}, [whole], centres, random.Random(1)) is None
 
 
-def test_home_is_preferred_until_only_its_brim_is_left():
+def test_own_data_centre_is_preferred_until_nearly_full():
     def choose(used):
         offers = [offer("h", 0, LAYERS, "a", used=used), offer("f", 0, LAYERS, "b")]
         chain = find_near_chain(offers, LAYERS, DataCentre("a"), random.Random(1))
         return chain.stages[0].target
 
-    assert choose(FILL_SHARES[1] - 0.11) == "h"
-    assert choose(FILL_SHARES[1] - 0.05) == "f"
+    assert choose(FILL_LIMITS[1] - 0.11) == "h"
+    assert choose(FILL_LIMITS[1] - 0.05) == "f"
 
 
-def test_engine_at_its_brim_is_used_when_nothing_else_is_left():
-    offers = [offer("h", 0, LAYERS, "a", used=FULL_SHARE - 0.1)]
+def test_nearly_full_engine_is_the_last_resort():
+    offers = [offer("h", 0, LAYERS, "a", used=MAX_FILL - 0.1)]
     assert find_near_chain(offers, LAYERS, DataCentre("a"), random.Random(1))
 
 
-def spread_blindly(hosts, jitter):
-    """Let hosts that don't hear of each other choose once; return the fullest share."""
+def measure_fullest_share(hosts, jitter):
+    """Return the largest share of independent hosts that choose the same engine."""
     engines = [offer(f"e{index}", 0, LAYERS) for index in range(8)]
     got = dict.fromkeys((item.target for item in engines), 0)
     for seed in range(hosts):
@@ -186,14 +186,21 @@
     return max(got.values()) / hosts
 
 
-def test_many_hosts_that_see_the_same_loads_choose_apart():
+def test_jitter_spreads_hosts_that_see_the_same_loads():
     assert choose_jitter(3) < 0.2
-    assert spread_blindly(200, choose_jitter(30)) < 0.25
+    assert measure_fullest_share(200, choose_jitter(30)) < 0.25
 
 
 def test_engine_that_others_have_probably_taken_costs_more():
     taken = StageOffer(
-        TargetId("x"), "x:80", DataCentre("a"), SPAN, 0.001, 0.1, 0.01, expected=0.8
+        TargetId("x"),
+        "x:80",
+        DataCentre("a"),
+        SPAN,
+        0.001,
+        0.1,
+        0.01,
+        expected_share=0.8,
     )
     free = offer("y", 0, LAYERS, used=0.1, seconds=0.0015)
     assert find_chain([taken, free], SPAN, random.Random(1)).stages[0].target == "y"
@@ -209,7 +216,7 @@
     ]
 
 
-def test_engine_in_the_midst_of_anothers_layers_does_not_split_it_in_two():
+def test_engine_inside_a_wider_layer_range_does_not_split_it():
     offers = [offer("wide", 0, LAYERS), offer("quick", 3, 5, seconds=0.0001)]
     chain = find_chain(offers, SPAN, random.Random(1))
     assert [(item.target, item.layers) for item in chain.stages] == [("wide", SPAN)]
