--- a/marigoldswitch/core/deputies.py
+++ b/marigoldswitch/core/deputies.py
@@ -1,18 +1,18 @@
-"""Who orders engines while the store that keeps the orderer's lease is away.
-
-Load it answers: engines that are lost during an outage of the store, or in a data
-centre that is cut off from it. Nobody can hold the lease then, and the holes stay open
-for as long as it lasts: 8 s of a day in which a third of the callers were refused.
-
-The first of the hosts of a data centre that hear each other orders its engines in the
-holder's place, as soon as none of them has a word from the store or from a holder of
-the lease. A host whose own connections alone are cut hears others that still read, or
-too few of its data centre, and leaves it. A data centre that is cut off has a deputy of
-its own while the others have a holder: the engines can be reached from one side only.
-Two deputies that act for a moment see the same engines and plan the same; an engine
-takes only the first of two orders that name the same count of orders before them. With
-one for all data centres, which can't hear each other in a cut, three acted on the same
-engines: 52 orders of 194 were refused.
+"""Decides which host orders engines while the store of the lease is unavailable.
+
+During an outage of the store, or in a data centre that is cut off from it, no host can
+hold the lease, and holes in the layout would stay open until it ends: once for 8 s, in
+which a third of the callers were refused.
+
+In each data centre, the live host with the lowest id then acts as deputy: it orders the
+engines there without the lease, as soon as no live host hears from the store or from a
+lease holder. A host that only lost its own connections still hears a host that reads
+the store, or too few hosts of its data centre, and does not act. A data centre that is
+cut off has its own deputy while the others have a lease holder; its engines can be
+reached from one side only. If two deputies act for a moment, they see the same engines
+and make the same plan, and an engine accepts only the first of two orders with the same
+sequence number. A single deputy for all data centres is no alternative: during a
+partition three hosts acted on the same engines, and 52 of 194 orders were refused.
 """
 
 from collections.abc import Mapping
@@ -21,28 +21,28 @@
 from marigoldswitch.core.ids import HostId
 
 AWAY_SECONDS = 1.6
-"""Time without a word from the store, of this host or of others, after which it counts
-as away: longer than the word of a reader stands, and than a holder of the lease waits
-until it says that it gives it up, which is 1.2 s."""
-HEARD_SECONDS = 1.5
-"""Time for which a host counts as there: several of its digests."""
+"""Time without contact to the store after which it counts as unavailable. Longer than
+another host's report that the store answers stays valid, and than the 1.2 s after which
+a lease holder announces that it gives up the lease."""
+HOST_TIMEOUT_SECONDS = 1.5
+"""Time since its last digest in which a host counts as live: several digest periods."""
 QUORUM = 0.5
-"""Share of the hosts of its data centre, itself among them, that a host must hear. One
-that hears fewer may be cut off alone, while others still read the store."""
+"""Share of the hosts of its data centre, itself included, that a deputy must hear. A
+host that hears fewer may be cut off alone, while others still read the store."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutageView:
-    """What a host sees of an outage.
+    """A store outage, as one host sees it.
 
-    :param own: this host.
-    :param lost_seconds: since its own last word from the store; 0 while it answers.
-    :param hears_reader: a host was heard that the store answers.
-    :param hears_holder: a host was heard that holds the lease.
-    :param ages: seconds since each other host of the data centre was heard.
+    :param host: this host.
+    :param lost_seconds: seconds since the store last answered it; 0 while it answers.
+    :param hears_reader: another host has reported that the store answers it.
+    :param hears_holder: another host has reported that it holds the lease.
+    :param ages: seconds since the last digest of each other host of the data centre.
     """
 
-    own: HostId
+    host: HostId
     lost_seconds: float
     hears_reader: bool
     hears_holder: bool
@@ -50,10 +50,10 @@
 
 
 def is_deputy(view: OutageView) -> bool:
-    """Tell whether a host is to order the engines of its data centre, without lease."""
+    """Return whether a host should act as the deputy of its data centre."""
     if view.hears_reader or view.hears_holder or view.lost_seconds < AWAY_SECONDS:
         return False
-    heard = [host for host, age in view.ages.items() if age < HEARD_SECONDS]
-    if 1 + len(heard) < QUORUM * (1 + len(view.ages)):
+    live_hosts = [host for host, age in view.ages.items() if age < HOST_TIMEOUT_SECONDS]
+    if 1 + len(live_hosts) < QUORUM * (1 + len(view.ages)):
         return False
-    return view.own == min([view.own, *heard])
+    return view.host == min([view.host, *live_hosts])
--- a/marigoldswitch/core/models.py
+++ b/marigoldswitch/core/models.py
@@ -1,4 +1,4 @@
-"""What a model needs of the accelerators that run it: memory and time."""
+"""Memory and time that a model needs on the accelerators that run it."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,9 +10,9 @@
 class Accelerator:
     """A kind of accelerator.
 
-    :param memory_mb: for weights and the KV cache of requests, in MB.
-    :param step_factor: time of a decode step over the reference kind's.
-    :param read_factor: time to read prompts over the reference kind's.
+    :param memory_mb: memory for weights and the KV cache of requests, in MB.
+    :param step_factor: time of a decode step, relative to the reference accelerator.
+    :param read_factor: time to process a prompt, relative to the reference accelerator.
     """
 
     name: str
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelSpec:
-    """A model whose layers are spread over engines.
+    """A model whose layers are distributed over engines.
 
-    Times are those of all layers on the reference accelerator.
+    Times are in seconds, for all layers on the reference accelerator.
 
     :param layers: number of layers.
     :param layer_mb: weights of one layer, in MB.
@@ -33,11 +33,12 @@
     :param step_seconds: decode step of an otherwise idle engine.
     :param sequence_seconds: added to a step by each request that is decoded.
     :param context_seconds: added to a step by each token of context.
-    :param read_seconds: time to read one token of a prompt.
+    :param read_seconds: time to process one token of a prompt.
     :param load_seconds: time to load all layers.
-    :param loads_at_once: loads that don't slow each other down.
-    :param crossing_seconds: that a token keeps the pipe between data centres busy.
-    :param accelerators: by name.
+    :param loads_at_once: number of parallel loads that don't slow each other down.
+    :param crossing_seconds: time that one token of a prompt occupies the link between
+        data centres.
+    :param accelerators: accelerator kinds by name.
     """
 
     layers: int
@@ -53,35 +54,35 @@
     accelerators: Mapping[str, Accelerator] = field(default_factory=dict)
 
     def count_layers(self, accelerator: Accelerator, tokens: float) -> int:
-        """Return the layers that fit beside the KV cache of some tokens."""
-        each = self.layer_mb + tokens * self.token_layer_mb
-        return min(self.layers, int(accelerator.memory_mb / each))
+        """Return how many layers fit beside the KV cache of some tokens."""
+        mb_per_layer = self.layer_mb + tokens * self.token_layer_mb
+        return min(self.layers, int(accelerator.memory_mb / mb_per_layer))
 
     def fits(self, accelerator: Accelerator, layers: LayerRange) -> bool:
-        """Tell whether the weights of some layers fit an accelerator at all."""
+        """Return whether the weights of some layers fit on an accelerator."""
         return (layers.end - layers.first) * self.layer_mb <= accelerator.memory_mb
 
     def count_tokens(self, accelerator: Accelerator, layers: LayerRange) -> float:
-        """Return the tokens whose KV cache fits beside the layers held."""
+        """Return the number of tokens whose KV cache fits beside the layers held."""
         count = layers.end - layers.first
-        left = accelerator.memory_mb - count * self.layer_mb
-        return max(0.0, left / (count * self.token_layer_mb))
+        free_mb = accelerator.memory_mb - count * self.layer_mb
+        return max(0.0, free_mb / (count * self.token_layer_mb))
 
     def measure_memory(self, accelerator: Accelerator, layers: LayerRange) -> float:
-        """Return the memory beside the layers held, in tokens times layers."""
+        """Return the memory for requests beside the layers, in tokens times layers."""
         return self.count_tokens(accelerator, layers) * (layers.end - layers.first)
 
     def estimate_step(
-        self, accelerator: Accelerator, running: float, tokens: float
+        self, accelerator: Accelerator, running: float, context_tokens: float
     ) -> float:
         """Return the seconds that one layer adds to a decode step.
 
-        :param running: requests that the engine decodes.
-        :param tokens: their contexts together.
+        :param running: number of requests that the engine decodes.
+        :param context_tokens: total length of their contexts.
         """
-        whole = (
+        model_seconds = (
             self.step_seconds
             + self.sequence_seconds * running
-            + self.context_seconds * tokens
+            + self.context_seconds * context_tokens
         )
-        return accelerator.step_factor * whole / self.layers
+        return accelerator.step_factor * model_seconds / self.layers
--- a/marigoldswitch/core/routes.py
+++ b/marigoldswitch/core/routes.py
@@ -1,4 +1,4 @@
-"""Routes of callers' requests: by host name and the longest prefix of the path."""
+"""Routes callers' requests by host name and the longest matching path prefix."""
 
 import bisect
 import itertools
@@ -12,7 +12,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated of the requests of a route."""
+    """Which requests of a route may run more than once."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One of the services that share the requests of a route.
+    """One of the services among which the requests of a route are divided.
 
-    :param weight: its share, relative to the others.
+    :param weight: its share, relative to the weights of the others.
     """
 
     service: ServiceName
@@ -32,17 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests that are treated alike.
+    """Settings for requests to one host name and path prefix.
 
     :param timeout: longest time that a caller waits for a final answer, in seconds.
-    :param priority: rank of its requests; 0 comes first.
-    :param services: who answers them.
-    :param most_targets: targets on which one request may run, one after the other.
-    :param is_public: needs no key.
-    :param is_resumable: a stream may go on at another target after its last event.
-    :param longest_gap: pause between two events of a stream that is still on time, in
-        seconds; 0 where none is set.
-    :param latency_target: seconds within which an answer is worth most.
+    :param priority: of its requests; 0 is served first.
+    :param services: the services that answer them.
+    :param most_targets: most targets on which one request may run, one after the other.
+    :param is_public: callers need no key.
+    :param is_resumable: another target can continue a stream after its last event.
+    :param longest_gap: longest pause between two events of a stream that is on time, in
+        seconds; 0 if none is set.
+    :param latency_target: seconds within which an answer should arrive.
     :param caller_patience: seconds without an event after which callers leave a stream.
     """
 
@@ -62,26 +62,26 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
 
-    def choose_service(self, source: random.Random) -> ServiceName:
-        """Return the service of one request, drawn by weight."""
+    def choose_service(self, rng: random.Random) -> ServiceName:
+        """Return the service for one request, chosen at random by weight."""
         if len(self.services) == 1:
             return self.services[0].service
         bounds = list(itertools.accumulate(item.weight for item in self.services))
-        drawn = bisect.bisect(bounds, source.random() * bounds[-1])
+        drawn = bisect.bisect(bounds, rng.random() * bounds[-1])
         return self.services[min(drawn, len(self.services) - 1)].service
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """What the configuration says of a service.
+    """Configuration of a service.
 
-    :param most_connections: connections that one target takes from all hosts.
-    :param model: what its engines run; ``None`` for a plain service.
+    :param most_connections: most connections of all hosts to one target.
+    :param model: the model that its engines run; ``None`` for a plain service.
     """
 
     name: ServiceName
@@ -91,9 +91,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedAccount:
-    """A client account, as routing needs it.
+    """The routing settings of a client account.
 
-    :param priority: rank of its requests in place of the route's, if any.
+    :param priority: replaces the priority of the route, if set.
     """
 
     id: AccountId
@@ -102,9 +102,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What callers may send, and how long they may be idle.
+    """Limits on what callers send and on how long they may take.
 
-    :param idle_seconds: that a connection is kept without a request.
+    :param header_seconds: time to send the headers of a request.
+    :param idle_seconds: time for which a connection without a request is kept open.
     """
 
     header_bytes: int = 16_384
@@ -115,9 +116,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One version of the configuration, as the callers' side needs it.
+    """Routing data of one version of the configuration.
 
-    :param accounts: client accounts by key; empty where no route needs a key.
+    :param accounts: client accounts by key; empty if no route needs a key.
     """
 
     version: int
@@ -125,30 +126,30 @@
     services: Mapping[ServiceName, ServiceSpec]
     accounts: Mapping[str, RoutedAccount]
     limits: ClientLimits
-    by_host: Mapping[str, tuple[Route, ...]] = field(init=False)
+    routes_by_host: Mapping[str, tuple[Route, ...]] = field(init=False)
 
     def __post_init__(self) -> None:
-        object.__setattr__(self, "by_host", _group_routes(self.routes))
+        object.__setattr__(self, "routes_by_host", _group_routes(self.routes))
 
     @property
     def needs_keys(self) -> bool:
-        """Tell whether routes that aren't public need a key."""
+        """Return whether routes that aren't public need a key."""
         return len(self.accounts) > 0
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path.
+        """Return the route with the longest prefix that matches a path, if any.
 
-        :param host: the ``Host`` header; a port in it and its case don't matter.
+        :param host: the ``Host`` header; its case and a port are ignored.
         """
         name = host.lower().rpartition(":")[0] if ":" in host else host.lower()
-        for route in self.by_host.get(name, ()):
+        for route in self.routes_by_host.get(name, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
 
 def _group_routes(routes: Iterable[Route]) -> dict[str, tuple[Route, ...]]:
-    """Return the routes of each host name, those with the longest prefix first."""
+    """Return the routes of each host name, longest prefix first."""
     grouped: dict[str, list[Route]] = {}
     for route in routes:
         grouped.setdefault(route.host.lower(), []).append(route)
--- a/marigoldswitch/core/selection.py
+++ b/marigoldswitch/core/selection.py
@@ -1,10 +1,10 @@
-"""Which target of a plain service gets a request.
+"""Selects the target of a plain service for each request.
 
-Load it answers: targets that turn slow or fail part of what they get while their own
-health answers are good. Without it each gets an equal share, and an equal share of the
-callers is late. The target that would take least time, by what it holds and how long
-its latest answers took, gets the request; a slow one gets few until its times, which
-count for less as they grow old, are in line again.
+A target may be slow or fail part of its requests while its health checks succeed. With
+equal shares of the load, an equal share of the callers would suffer. Instead a request
+goes to the target with the lowest expected time, by its running requests and recent
+answer times. A slow target gets few requests until its measurements, which lose weight
+with age, are back to normal.
 """
 
 import math
@@ -17,121 +17,129 @@
 from marigoldswitch.core.loads import Loads
 from marigoldswitch.core.outliers import Health, OutlierWatch
 
-FIRST_SECONDS = 0.03
-"""Time of an answer that is assumed of a target that has not answered yet."""
+INITIAL_SECONDS = 0.03
+"""Answer time assumed for a target that has not answered yet."""
 SAMPLE_WEIGHT = 0.25
-"""Weight of the newest answer in a target's mean time: four slow ones tell."""
-FORGET_SECONDS = 4.0
-"""Time in which an unusual mean loses two thirds of what is unusual in it, so that a
-slow target is tried again every few seconds."""
-FAR_FACTOR = 1.1
-"""Cost of a target in another data centre: enough to stay near while loads are alike,
-as each crossing has its price."""
-FAILING_WEIGHT = 4.0
-"""How much the failing share of a target adds to its cost: one that fails half of its
+"""Weight of the newest answer in a target's moving average: about four slow answers
+show."""
+DECAY_SECONDS = 4.0
+"""Time in which a target's deviation from the typical answer time decays by two thirds,
+so that a slow target is tried again every few seconds."""
+REMOTE_COST_FACTOR = 1.1
+"""Factor on the cost of a target in another data centre: requests stay local while
+loads are similar, as each crossing to another data centre has its cost."""
+FAILURE_WEIGHT = 4.0
+"""Relative extra cost of a target that always fails: one that fails half of its
 requests counts as three times as slow."""
 
 
 @dataclass(slots=True)
-class _Times:
-    mean: float = FIRST_SECONDS
-    failing: float = 0.0
-    at: float = 0.0
+class _TargetStats:
+    """Moving averages of one target's answer time and failure rate."""
+
+    mean_seconds: float = INITIAL_SECONDS
+    failure_rate: float = 0.0
+    updated_at: float = 0.0
 
 
 class PlainSelector:
-    """Chooses among the targets of one plain service."""
+    """Chooses among the targets of one plain service.
+
+    :param home: data centre of this host.
+    """
 
-    def __init__(self, home: DataCentre, source: random.Random) -> None:
+    def __init__(self, home: DataCentre, rng: random.Random) -> None:
         self.outliers = OutlierWatch()
         self._home = home
-        self._source = source
-        self._times: dict[TargetId, _Times] = {}
+        self._rng = rng
+        self._stats: dict[TargetId, _TargetStats] = {}
 
     def choose(
         self,
         targets: Iterable[Target],
         loads: Loads,
-        avoid: set[TargetId],
+        tried: set[TargetId],
         now: float,
     ) -> Target | None:
-        """Return the target to send to, or ``None`` where there is none.
+        """Return the target with the lowest cost, or ``None`` if all have been tried.
+
+        Ejected targets are chosen only if no other is left.
 
-        :param avoid: those that this request has been sent to.
+        :param tried: targets that this request has been sent to.
         """
         known = {item.id: item for item in targets}
-        if set(self._times) != set(known):
-            self._replace(set(known))
+        if set(self._stats) != set(known):
+            self._set_targets(set(known))
         self.outliers.list_due(now)
-        fresh = [item for name, item in known.items() if name not in avoid]
+        untried = [item for name, item in known.items() if name not in tried]
         healthy = [
             item
-            for item in fresh
+            for item in untried
             if self.outliers.get_health(item.id) is not Health.EJECTED
         ]
-        candidates = healthy or fresh
+        candidates = healthy or untried
         if not candidates:
             return None
         return min(candidates, key=lambda item: self._cost(item, loads, now))
 
     def estimate(self, target: TargetId, now: float) -> float:
-        """Return the seconds that an answer of a target is expected to take."""
-        times = self._times.get(target)
-        if times is None:
-            return FIRST_SECONDS
-        usual = self._usual()
-        return usual + (times.mean - usual) * _age(times, now)
+        """Return the expected answer time of a target, in seconds."""
+        stats = self._stats.get(target)
+        if stats is None:
+            return INITIAL_SECONDS
+        typical = self._typical_seconds()
+        return typical + (stats.mean_seconds - typical) * _decay(stats, now)
 
     def note_answer(self, target: TargetId, seconds: float, now: float) -> None:
-        """Learn from an answer."""
-        if target in self._times:
-            self._learn(target, seconds, 0.0, now)
+        """Record an answer of a target."""
+        if target in self._stats:
+            self._update_stats(target, seconds, 0.0, now)
             self.outliers.note_success(target, now)
 
     def note_failure(self, target: TargetId, seconds: float, now: float) -> None:
-        """Learn from a request that failed at a target."""
-        if target in self._times:
-            self._learn(target, seconds, 1.0, now)
+        """Record a request that failed at a target."""
+        if target in self._stats:
+            self._update_stats(target, seconds, 1.0, now)
             self.outliers.learn_usual()
             self.outliers.note_failure(target, 1.0, now)
 
     def note_refusal(self, target: TargetId, now: float) -> None:
-        """Learn that a target had no room."""
-        if target in self._times:
+        """Record that a target refused a request for lack of room."""
+        if target in self._stats:
             self.outliers.note_refusal(target, now)
 
-    def _learn(
+    def _update_stats(
         self, target: TargetId, seconds: float, failed: float, now: float
     ) -> None:
-        times = self._times[target]
-        times.mean = self.estimate(target, now)
-        times.mean += SAMPLE_WEIGHT * (seconds - times.mean)
-        times.failing *= _age(times, now)
-        times.failing += SAMPLE_WEIGHT * (failed - times.failing)
-        times.at = now
-
-    def _usual(self) -> float:
-        """Return the mean time of the better half of the targets."""
-        means = sorted(item.mean for item in self._times.values())
+        stats = self._stats[target]
+        stats.mean_seconds = self.estimate(target, now)
+        stats.mean_seconds += SAMPLE_WEIGHT * (seconds - stats.mean_seconds)
+        stats.failure_rate *= _decay(stats, now)
+        stats.failure_rate += SAMPLE_WEIGHT * (failed - stats.failure_rate)
+        stats.updated_at = now
+
+    def _typical_seconds(self) -> float:
+        """Return the mean answer time of the faster half of the targets."""
+        means = sorted(item.mean_seconds for item in self._stats.values())
         half = means[: max(1, len(means) // 2)]
         return sum(half) / len(half)
 
     def _cost(self, target: Target, loads: Loads, now: float) -> float:
         usage = loads.get(target.id)
         cost = self.estimate(target.id, now) * (1.0 + usage.requests)
-        times = self._times[target.id]
-        cost *= 1.0 + FAILING_WEIGHT * times.failing * _age(times, now)
+        stats = self._stats[target.id]
+        cost *= 1.0 + FAILURE_WEIGHT * stats.failure_rate * _decay(stats, now)
         if target.data_centre != self._home:
-            cost *= FAR_FACTOR
-        return cost * (1.0 + 0.05 * self._source.random())
+            cost *= REMOTE_COST_FACTOR
+        return cost * (1.0 + 0.05 * self._rng.random())
 
-    def _replace(self, names: set[TargetId]) -> None:
+    def _set_targets(self, names: set[TargetId]) -> None:
         self.outliers.replace(names)
-        self._times = {
-            name: self._times.get(name) or _Times() for name in sorted(names)
+        self._stats = {
+            name: self._stats.get(name) or _TargetStats() for name in sorted(names)
         }
 
 
-def _age(times: _Times, now: float) -> float:
-    """Return how much a target's times still count, from 1 down to 0."""
-    return math.exp(-max(0.0, now - times.at) / FORGET_SECONDS)
+def _decay(stats: _TargetStats, now: float) -> float:
+    """Return the weight of a target's measurements, from 1 down to 0 with their age."""
+    return math.exp(-max(0.0, now - stats.updated_at) / DECAY_SECONDS)
--- a/marigoldswitch/tests/test_crossings.py
+++ b/marigoldswitch/tests/test_crossings.py
@@ -1,9 +1,9 @@
-"""Hosts together give out only a part of the pipe between data centres."""
+"""Hosts together use only a share of the link between data centres."""
 
 from marigoldswitch.core.crossings import (
     BURST_SECONDS,
+    LINK_SHARE,
     OVERDRAFT_SECONDS,
-    SHARE,
     CrossingBudget,
 )
 
@@ -16,8 +16,8 @@
         for budget in budgets:
             if budget.take(seconds, hosts, step / 100.0):
                 taken += seconds
-    assert taken <= SHARE * 100.0 + hosts * BURST_SECONDS + 0.01
-    assert taken >= 0.9 * SHARE * 100.0
+    assert taken <= LINK_SHARE * 100.0 + hosts * BURST_SECONDS + 0.01
+    assert taken >= 0.9 * LINK_SHARE * 100.0
 
 
 def test_chain_without_crossings_is_free():
@@ -27,12 +27,12 @@
     assert budget.take(0.0, 1, 0.0)
 
 
-def test_streams_under_way_find_a_crossing_where_new_requests_take_all():
-    """Two new requests wait for each crossing that comes free, as in a release.
+def test_running_streams_get_a_crossing_when_new_requests_take_all():
+    """New requests take every crossing, as during a release of new engines.
 
-    In a release of eight engines no data centre had a whole model. Streams that lost
-    their engine waited for a crossing behind new requests and were closed after 1.0 s:
-    ``broken off: no chain with room``, with ``with_room`` 33 of 33 engines.
+    While eight engines are replaced, no data centre has a whole model. Streams that
+    lost an engine waited for a crossing behind new requests and were closed after 1.0 s
+    with ``broken off: no chain with room``, although all 33 engines had room.
     """
     budget, hosts, seconds = CrossingBudget(), 8, 0.03
     streams, moved = 6, []
@@ -46,7 +46,7 @@
     assert all(moved)
 
 
-def test_what_streams_under_way_overdraw_is_paid_back_by_new_requests():
+def test_overdraft_of_running_streams_is_repaid_by_new_requests():
     budget, hosts, seconds = CrossingBudget(), 8, 0.03
     taken = 0.0
     for step in range(10_000):
@@ -54,11 +54,11 @@
         for is_new in (True, False):
             if budget.take(seconds, hosts, now, is_new):
                 taken += seconds
-    most = SHARE * 100.0 / hosts + BURST_SECONDS + OVERDRAFT_SECONDS
+    most = LINK_SHARE * 100.0 / hosts + BURST_SECONDS + OVERDRAFT_SECONDS
     assert taken <= most + 0.01
 
 
-def test_chain_without_crossings_is_free_also_in_debt():
+def test_chain_without_crossings_is_free_while_overdrawn():
     budget = CrossingBudget()
     while budget.take(0.05, 1, 0.0, is_new=False):
         pass
--- a/marigoldswitch/tests/test_deputies.py
+++ b/marigoldswitch/tests/test_deputies.py
@@ -1,4 +1,4 @@
-"""One host orders engines while the store is away, and none while it is there."""
+"""One host orders engines while the store is unavailable, and none while it answers."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 from marigoldswitch.core.deputies import (
     AWAY_SECONDS,
-    HEARD_SECONDS,
+    HOST_TIMEOUT_SECONDS,
     OutageView,
     is_deputy,
 )
@@ -17,34 +17,34 @@
 HOSTS = [HostId(f"10.1.0.{number}:80") for number in range(10, 16)]
 
 
-def view(own, others, lost=10.0, reader=False, holder=False, age=0.1):
+def build_view(own, others, outage=10.0, reader=False, holder=False, age=0.1):
     ages = {host: age for host in others if host != own}
-    return OutageView(own, lost, reader, holder, ages)
+    return OutageView(own, outage, reader, holder, ages)
 
 
 @given(st.sets(st.sampled_from(HOSTS), min_size=1))
 def test_hosts_that_hear_each_other_have_one_deputy(hosts):
-    deputies = [host for host in hosts if is_deputy(view(host, hosts))]
+    deputies = [host for host in hosts if is_deputy(build_view(host, hosts))]
     assert deputies == [min(hosts)]
 
 
 @pytest.mark.parametrize(
-    "sight",
+    "view",
     [
-        view(HOSTS[0], HOSTS, lost=0.0),
-        view(HOSTS[0], HOSTS, lost=AWAY_SECONDS / 2),
-        view(HOSTS[0], HOSTS, reader=True),
-        view(HOSTS[0], HOSTS, holder=True),
-        view(HOSTS[1], HOSTS),
-        view(HOSTS[0], HOSTS, age=HEARD_SECONDS),
+        build_view(HOSTS[0], HOSTS, outage=0.0),
+        build_view(HOSTS[0], HOSTS, outage=AWAY_SECONDS / 2),
+        build_view(HOSTS[0], HOSTS, reader=True),
+        build_view(HOSTS[0], HOSTS, holder=True),
+        build_view(HOSTS[1], HOSTS),
+        build_view(HOSTS[0], HOSTS, age=HOST_TIMEOUT_SECONDS),
     ],
     ids=["answers", "short", "reader", "holder", "not the first", "alone"],
 )
-def test_no_deputy(sight):
-    assert not is_deputy(sight)
+def test_no_deputy(view):
+    assert not is_deputy(view)
 
 
-def test_hole_is_closed_while_the_store_is_away():
+def test_hole_is_closed_during_a_store_outage():
     async def scenario():
         async with run_site(hosts=2) as site:
             await site.add_engine("x", "north", (0, 4))
--- a/marigoldswitch/tests/test_routes.py
+++ b/marigoldswitch/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Requests find the route with the longest prefix of their host name."""
+"""A request takes the route of its host name with the longest matching prefix."""
 
 import random
 
@@ -65,7 +65,7 @@
         (RouteKind.STREAM, True, True),
     ],
 )
-def test_streams_repeat_only_where_they_resume(kind, resumable, idempotent):
+def test_streams_are_idempotent_only_if_resumable(kind, resumable, idempotent):
     shares = (WeightedService(ServiceName("a"), 1.0),)
     route = Route("r", "h", "/", kind, 1.0, 0, shares, is_resumable=resumable)
     assert route.is_idempotent is idempotent
--- a/marigoldswitch/tests/test_selection.py
+++ b/marigoldswitch/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Plain requests avoid slow and failing targets, and come back to them."""
+"""Requests of plain services avoid slow and failing targets until they recover."""
 
 import random
 from collections import Counter
@@ -20,46 +20,52 @@
     return PlainSelector(DataCentre("a"), random.Random(1))
 
 
-def play(selector, seconds, count, fails=None):
-    """Send requests one after the other; return how many each target got."""
-    got, now = Counter(), 0.0
+def send_requests(selector, seconds, count, fails=None):
+    """Send requests in sequence; return how many each target got.
+
+    :param seconds: answer time of each target.
+    :param fails: tells whether a target fails the request.
+    """
+    counts, now = Counter(), 0.0
     for _ in range(count):
         target = selector.choose(TARGETS, Loads(HOME), set(), now)
-        got[target.id] += 1
+        counts[target.id] += 1
         now += 0.1
         if fails and fails(target.id):
             selector.note_failure(target.id, 0.02, now)
         else:
             selector.note_answer(target.id, seconds[target.id], now)
-    return got
+    return counts
 
 
 def test_slow_target_gets_few_requests():
-    got = play(build_selector(), {"x": 0.3, "y": 0.02, "z": 0.02}, 300)
+    got = send_requests(build_selector(), {"x": 0.3, "y": 0.02, "z": 0.02}, 300)
     assert got["x"] < 40
     assert got["x"] > 0
 
 
-def test_target_that_fails_fast_draws_no_work():
+def test_fast_failing_target_gets_few_requests():
     seconds = {"x": 0.02, "y": 0.02, "z": 0.02}
-    got = play(build_selector(), seconds, 300, fails=lambda name: name == "x")
+    got = send_requests(build_selector(), seconds, 300, fails=lambda name: name == "x")
     assert got["x"] < 40
 
 
-def test_failures_common_to_all_leave_all_in_use():
+def test_failures_common_to_all_targets_eject_none():
     source = random.Random(2)
     seconds = {"x": 0.02, "y": 0.02, "z": 0.02}
-    got = play(build_selector(), seconds, 600, lambda name: source.random() < 0.14)
+    got = send_requests(
+        build_selector(), seconds, 600, lambda name: source.random() < 0.14
+    )
     assert min(got["x"], got["y"]) > 60
 
 
-def test_busy_target_is_passed_by():
+def test_busy_target_is_skipped():
     selector, loads = build_selector(), Loads(HOME)
     loads.hold(TargetId("x"), Usage(4, 0))
     assert selector.choose(TARGETS, loads, set(), 0.0).id == "y"
 
 
-def test_target_that_had_the_request_is_not_asked_again():
+def test_tried_targets_are_not_chosen_again():
     selector = build_selector()
     tried = {TargetId("x"), TargetId("y")}
     assert selector.choose(TARGETS, Loads(HOME), tried, 0.0).id == "z"
