--- a/marigoldswitch/core/layouts.py
+++ b/marigoldswitch/core/layouts.py
@@ -6,11 +6,12 @@
 (layers that no engine holds) could stay open in a data centre that is cut off next.
 
 A request needs memory at every layer, so the layer with the least memory for requests
-limits a data centre. The planner therefore first gives all layers the same capacity:
-the fastest engines get adjacent ranges, each small enough to leave that capacity.
-Remaining memory holds second copies, as long as no layer drops below the goal. Engines
-keep what they hold. Empty engines close holes; if there are none, the neighbours of a
-hole take parts of it and release them once other engines hold those layers.
+limits a data centre. The planner therefore first gives all layers the same capacity,
+the context tokens that their holders have memory for: the fastest engines get adjacent
+ranges, each small enough to leave that much. Remaining memory holds second copies, as
+long as no layer drops below this goal. Engines keep what they hold. Empty engines close
+holes; if there are none, the neighbours of a hole take parts of it and release them
+once other engines hold those layers.
 """
 
 from collections.abc import Iterable, Sequence
@@ -336,13 +337,13 @@
         """
         held = self._cover.held[engine.target]
         own_capacity = self._cover.measure_capacity(engine, held)
-        min_capacity = own_capacity + OVERCOMMITTED_SHARE * self._goal
+        required = own_capacity + OVERCOMMITTED_SHARE * self._goal
         capacities = self._cover.rooms
         first, end = held.first, held.end
         while excess > 0 and end - first > 1:
-            if capacities[first] >= min_capacity:
+            if capacities[first] >= required:
                 first += 1
-            elif capacities[end - 1] >= min_capacity:
+            elif capacities[end - 1] >= required:
                 end -= 1
             else:
                 break
