--- a/marigoldswitch/gateway/detours.py
+++ b/marigoldswitch/gateway/detours.py
@@ -121,18 +121,20 @@
         """
         self._restart_silence()
         self._progress_at = self._silent_since
-        task = asyncio.ensure_future(work)
+        work_task = asyncio.ensure_future(work)
         monitor = asyncio.ensure_future(self._monitor_chain())
         try:
-            await asyncio.wait({task, monitor}, return_when=asyncio.FIRST_COMPLETED)
-            if task.done():
-                return task.result()
+            await asyncio.wait(
+                {work_task, monitor}, return_when=asyncio.FIRST_COMPLETED
+            )
+            if work_task.done():
+                return work_task.result()
             monitor.result()
             raise AssertionError("the chain monitor ended without an exception")
         finally:
             self._stop_monitoring(monitor)
-            if not task.done():
-                task.cancel()
+            if not work_task.done():
+                work_task.cancel()
 
     @contextlib.asynccontextmanager
     async def monitor(self, response: aiohttp.ClientResponse) -> AsyncIterator[None]:
--- a/marigoldswitch/gateway/streams.py
+++ b/marigoldswitch/gateway/streams.py
@@ -313,10 +313,8 @@
         self, target: Target, sending: Sending, new_connection: bool
     ) -> aiohttp.ClientResponse | NotSent | Lost:
         call, body = self._exchange.call, self._exchange.body
-        response = self._parts.upstream.send(
-            target, call, body, sending, new_connection
-        )
-        return await self.chain.run_monitored(response)
+        request = self._parts.upstream.send(target, call, body, sending, new_connection)
+        return await self.chain.run_monitored(request)
 
     def _suspect_unreachable(self, target: Target, not_sent: NotSent) -> None:
         """Avoid an engine that could not be connected to.
--- a/marigoldswitch/tests/test_connections.py
+++ b/marigoldswitch/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to targets are used again for as long as targets keep them."""
+"""Reuse of connections to targets, and recovery from stale ones."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 )
 
 
-def answer(**headers):
+def build_headers(**headers):
     return CIMultiDictProxy(CIMultiDict(headers))
 
 
@@ -41,10 +41,10 @@
         ("", IDLE_SECONDS),
     ],
 )
-def test_connections_rest_as_long_as_the_target_says(stated, kept):
+def test_idle_time_follows_the_timeout_that_the_target_announces(stated, kept):
     async def scenario():
         connections = Connections()
-        connections.note_keep_alive("a:1", answer(**{"Keep-Alive": stated}))
+        connections.note_keep_alive("a:1", build_headers(**{"Keep-Alive": stated}))
         found = connections.choose("a:1").connector._keepalive_timeout
         await connections.close()
         return found
@@ -52,10 +52,10 @@
     assert asyncio.run(scenario()) == kept
 
 
-def test_answer_that_ends_its_connection_tells_nothing_of_idle_ones():
+def test_answer_with_connection_close_does_not_change_the_idle_time():
     async def scenario():
         connections = Connections()
-        connections.note_keep_alive("a:1", answer(Connection="close"))
+        connections.note_keep_alive("a:1", build_headers(Connection="close"))
         found = connections.choose("a:1").connector._keepalive_timeout
         await connections.close()
         return found
@@ -63,7 +63,7 @@
     assert asyncio.run(scenario()) == LONG_IDLE_SECONDS
 
 
-class ForgetfulTarget:
+class ResettingTarget:
     """Answers the first request on each connection and resets the second."""
 
     def __init__(self):
@@ -107,9 +107,9 @@
     server.close()
 
 
-def test_break_of_a_kept_connection_is_told_from_a_loss():
+def test_lost_request_on_a_reused_connection_is_marked_stale():
     async def scenario():
-        target = ForgetfulTarget()
+        target = ResettingTarget()
         async with run_target(target) as send:
             assert (await send()).status == 200
             lost = await send()
@@ -119,11 +119,11 @@
     asyncio.run(scenario())
 
 
-def test_stream_whose_kept_connection_was_forgotten_goes_to_the_same_engine():
-    """Engines forget connections that have rested.
+def test_stream_on_a_stale_connection_is_resent_to_the_same_engine():
+    """Engines reset connections that have been idle.
 
-    Each such request left its engine out for a second, and was sent to another one:
-    where that had forgotten as well, its caller got no answer.
+    If that counted as a failure, the engine would be excluded for a second and the
+    request sent to another one; if that reset it as well, the caller got no answer.
     """
 
     async def scenario():
@@ -148,15 +148,15 @@
     assert not may_keep_connections(110, 76)
 
 
-def is_kept(site, address):
-    """Tell whether the first host keeps a connection to a target."""
+def has_idle_connection(site, address):
+    """Tell whether the first host has an idle connection to a target."""
     connections = site.hosts[0].parts.runs.upstream._connections
     sessions = (connections._short, connections._long, connections.single_use)
     pool = [key for item in sessions for key in item.connector._conns]
     return any(key.port == int(address.rpartition(":")[2]) for key in pool)
 
 
-def test_request_to_a_small_target_closes_its_connection():
+def test_connections_to_a_small_target_are_not_kept():
     async def scenario(most):
         configuration = build_configuration()
         configuration["services"][1]["max_conns"] = most
@@ -166,13 +166,13 @@
             await site.wait(lambda: directory.version == 2)
             async with site.call("/look/", 1, method="GET", data=None) as answer:
                 assert answer.status == 200
-            return is_kept(site, site.desks[0].address)
+            return has_idle_connection(site, site.desks[0].address)
 
     assert asyncio.run(scenario(100))
     assert not asyncio.run(scenario(3))
 
 
-def test_stream_to_a_small_engine_closes_its_connection():
+def test_stream_connections_to_a_small_engine_are_not_kept():
     async def scenario(most):
         configuration = build_configuration()
         configuration["services"][0]["max_conns"] = most
@@ -183,7 +183,7 @@
             await site.wait(lambda: directory.version == 2 and get_targets(site))
             async with site.call("/draft/", 1) as answered:
                 assert list_ids(await answered.read()) == ALL_EVENTS
-            return is_kept(site, get_targets(site)["x"].address)
+            return has_idle_connection(site, get_targets(site)["x"].address)
 
     assert asyncio.run(scenario(100))
     assert not asyncio.run(scenario(3))
--- a/marigoldswitch/tests/test_detours.py
+++ b/marigoldswitch/tests/test_detours.py
@@ -1,4 +1,4 @@
-"""A silent chain is looked at where no other stream has shown that its engines live."""
+"""Checks of silent chains: which engines are probed, and when a chain is given up."""
 
 import asyncio
 from types import SimpleNamespace
@@ -22,11 +22,11 @@
 NAMES = [item.target for item in STAGES]
 
 
-class Chain:
-    """A chain of three engines whose probes are counted."""
+class MonitoredChain:
+    """A monitored chain of three engines that records which of them are probed."""
 
     async def _note_cut_off(self, request, target):
-        """Nothing is learnt here of requests that end engines."""
+        """Ignore the cut-off request: these tests don't cover crashes."""
 
     def __init__(self):
         self.now = 100.0
@@ -70,9 +70,9 @@
         self.exchange = Exchange(
             None, call, b"", route, service, None, 1, self.now, self.now + 20.0, ran=1
         )
-        self.watch = ChainMonitor(parts, self.exchange)
-        self.watch.start_chain(STAGES)
-        self.watch._silent_since = self.watch._progress_at = self.now
+        self.monitor = ChainMonitor(parts, self.exchange)
+        self.monitor.start_chain(STAGES)
+        self.monitor._silent_since = self.monitor._progress_at = self.now
 
     async def read(self, address, seconds):
         name = address.partition(":")[0]
@@ -87,76 +87,76 @@
     async def reroute(self, address, request, stages):
         return OrderReply(OrderResult.BEGUN)
 
-    def look(self, after=0.0):
+    def check(self, after=0.0):
         self.now += after
         self.probed = []
-        asyncio.run(self.watch._check_chain())
+        asyncio.run(self.monitor._check_chain())
         return self.probed
 
 
-def test_chain_that_nobody_else_uses_is_looked_at_whole():
-    assert Chain().look(after=0.1) == NAMES
+def test_all_engines_of_a_silent_chain_are_probed_if_no_other_stream_uses_them():
+    assert MonitoredChain().check(after=0.1) == NAMES
 
 
-def test_engines_that_others_have_just_heard_of_are_not_probed():
-    chain = Chain()
+def test_engines_that_just_delivered_events_of_other_streams_are_not_probed():
+    chain = MonitoredChain()
     chain.now += 0.08
     chain.probes.note_alive(NAMES[:2])
-    assert chain.look(after=0.02) == NAMES[2:]
+    assert chain.check(after=0.02) == NAMES[2:]
 
 
-def test_engine_that_died_as_the_silence_began_is_probed_at_once():
-    chain = Chain()
+def test_engine_that_died_as_the_silence_began_is_probed_at_the_first_check():
+    chain = MonitoredChain()
     chain.probes.note_alive(NAMES)
     chain.dead.add(NAMES[1])
-    assert NAMES[1] in chain.look(after=0.1)
+    assert NAMES[1] in chain.check(after=0.1)
     assert chain.directory.suspects.is_dead(NAMES[1], chain.now)
 
 
-def test_first_engine_is_asked_whom_it_waits_for_when_the_silence_lasts():
-    chain = Chain()
+def test_first_engine_is_probed_again_if_the_silence_lasts():
+    chain = MonitoredChain()
     for _ in range(2):
         chain.now += 0.1
         chain.probes.note_alive(NAMES)
-        probed = chain.look()
+        probed = chain.check()
     assert probed == NAMES[:1]
 
 
 def test_chain_with_a_dead_first_engine_is_broken():
-    chain = Chain()
+    chain = MonitoredChain()
     chain.directory.suspects.note(NAMES[0], Finding.DEAD, chain.now)
     with pytest.raises(ChainBroken):
-        chain.look(after=0.1)
+        chain.check(after=0.1)
 
 
 def test_request_that_may_not_be_repeated_waits_for_its_silent_first_engine():
-    chain = Chain()
+    chain = MonitoredChain()
     chain.exchange.route.is_idempotent = False
     chain.dead.add(NAMES[0])
-    chain.look(after=0.1)
-    asyncio.run(chain.watch._handle_check_request())
+    chain.check(after=0.1)
+    asyncio.run(chain.monitor._handle_check_request())
 
 
-def test_chain_that_lives_and_brings_nothing_is_left_for_another():
-    chain = Chain()
-    chain.look(after=0.5)
+def test_chain_that_is_alive_but_sends_no_first_event_is_abandoned():
+    chain = MonitoredChain()
+    chain.check(after=0.5)
     with pytest.raises(ChainBroken):
-        chain.look(after=0.25)
+        chain.check(after=0.25)
     assert chain.directory.suspects.is_out(NAMES[0], chain.now)
     assert not chain.directory.suspects.is_dead(NAMES[0], chain.now)
 
 
-def test_stream_under_way_waits_longer():
-    chain = Chain()
-    chain.watch.last_event = "3"
-    chain.look(after=1.1)
+def test_stream_that_has_begun_waits_longer():
+    chain = MonitoredChain()
+    chain.monitor.last_event = "3"
+    chain.check(after=1.1)
     with pytest.raises(ChainBroken):
-        chain.look(after=0.2)
+        chain.check(after=0.2)
 
 
 @pytest.mark.parametrize("why", ["ran twice", "runs once only", "no budget"])
-def test_silent_chain_is_kept_where_the_request_may_not_be_sent_again(why):
-    chain = Chain()
+def test_silent_chain_is_kept_if_the_request_may_not_be_sent_again(why):
+    chain = MonitoredChain()
     match why:
         case "ran twice":
             chain.exchange.ran = 2
@@ -164,15 +164,15 @@
             chain.exchange.route.is_idempotent = False
         case "no budget":
             chain.budget.has_room = lambda now: False
-    chain.look(after=1.5)
+    chain.check(after=1.5)
 
 
-def test_chain_that_has_just_been_mended_gets_its_time():
-    chain = Chain()
+def test_timeout_restarts_after_a_detour():
+    chain = MonitoredChain()
     chain.dead.add(NAMES[1])
     chain.detour = SimpleNamespace(stages=(STAGES[0], STAGES[2]))
-    chain.look(after=0.8)
-    assert chain.watch.stages == chain.detour.stages
-    chain.look(after=0.6)
+    chain.check(after=0.8)
+    assert chain.monitor.stages == chain.detour.stages
+    chain.check(after=0.6)
     with pytest.raises(ChainBroken):
-        chain.look(after=0.2)
+        chain.check(after=0.2)
--- a/marigoldswitch/tests/test_exchanges.py
+++ b/marigoldswitch/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Hosts share the repeats that a service may get."""
+"""Retry budgets: the hosts share the retries allowed for a service."""
 
 from marigoldswitch.core.ids import ServiceName
 from marigoldswitch.gateway.exchanges import Retries
@@ -6,7 +6,7 @@
 SERVICE = ServiceName("drafts")
 
 
-def test_repeats_of_all_hosts_stay_within_what_is_allowed():
+def test_retries_of_all_hosts_stay_within_the_allowance():
     hosts, allowance, window = 7, 19.8, 10.0
     budgets = [Retries(allowance, 0.2, lambda: hosts) for _ in range(hosts)]
     spent = 0
@@ -16,8 +16,11 @@
     assert 0.7 * allowance * window < spent <= allowance * window
 
 
-def test_answers_that_have_begun_go_on_beyond_that_and_stay_within_it_too():
-    """Engine after engine ends under the streams of all hosts, any 10 s of 40."""
+def test_reserve_for_answers_that_have_begun_stays_within_the_allowance():
+    """Every host spends all the retries it gets for 40 s, as when engines keep ending.
+
+    No window of 10 s may hold more than the allowance.
+    """
     hosts, allowance, window = 7, 19.8, 10.0
     budgets = [Retries(allowance, 0.2, lambda: hosts) for _ in range(hosts)]
     fresh, begun = [], []
@@ -33,7 +36,7 @@
         assert len(spent) <= allowance * window
 
 
-def test_more_hosts_leave_each_a_smaller_part():
+def test_allowance_is_divided_among_live_hosts():
     live = [1]
     retries = Retries(10.0, 0.2, lambda: live[0])
     alone = retries.get(SERVICE).floor
--- a/marigoldswitch/tests/test_stream_losses.py
+++ b/marigoldswitch/tests/test_stream_losses.py
@@ -1,4 +1,4 @@
-"""Streams whose engines die, leave, refuse or lose them, on stand-ins."""
+"""Streams whose engines die, leave, refuse them or reset them."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 )
 
 
-def test_engine_that_dies_in_the_chain_is_gone_round():
+def test_stream_takes_a_detour_around_an_engine_that_dies():
     async def scenario():
         async with run_site(hosts=1) as site:
             first = await site.add_engine("first", "north", (0, 4))
@@ -62,7 +62,7 @@
     run(scenario())
 
 
-def test_event_that_breaks_off_is_asked_for_again():
+def test_event_that_is_cut_off_is_requested_again():
     async def scenario():
         async with run_site(hosts=1) as site:
             await site.add_engine("y", "north", (0, 8))
@@ -91,7 +91,7 @@
     run(scenario())
 
 
-def test_stream_goes_round_an_engine_that_starts_again_under_its_id():
+def test_stream_takes_a_detour_around_an_engine_that_restarts_under_the_same_id():
     async def scenario():
         async with run_site(hosts=1) as site:
             first = await site.add_engine("x", "north", (0, 4))
@@ -112,7 +112,7 @@
                 site.enter(again, "model", "north")
                 assert list_ids(await answer.read())[-1] == 120
             assert record.path[1][0] != again.address
-            # Told late, of the start before: it holds nothing of that.
+            # A late row of the previous process must not replace the newer start.
             again.held, again.born = (4, 8), 1_000
             site.enter(again, "model", "north")
             again.held, again.born = None, 2_000
@@ -172,11 +172,10 @@
 
 
 def test_one_time_stream_is_not_run_again_though_its_engine_is_known_to_be_dead():
-    """A stream that may not be repeated is lost in the moment that its engine dies.
+    """The connection is reset just as the engine is marked dead.
 
-    Its connection is reset just when others have found the engine dead. A run at a dead
-    engine was not counted at all, so that nothing seemed to have run: the request went
-    to a second engine, and a refusal would have said "not run" of it.
+    If a run on a dead engine were not counted, a request that may run only once would
+    be sent to a second engine, and a refusal would claim that it had not run.
     """
 
     async def scenario():
@@ -209,13 +208,12 @@
 
 
 def test_stream_goes_on_although_a_release_ends_one_of_its_engines_after_the_other():
-    """A route allows two targets, and a release ends three that a stream runs on.
+    """A route allows two targets, and a rollout ends three engines of one stream.
 
-    A run was held against the stream unless its engine was already known to be dead,
-    which one that ends in a release is not: it cuts its streams off a moment before its
-    port is closed. In a release of 18 engines streams that were sent on to a second
-    engine of the same release were broken off, some 4 ms after they had begun there:
-    ``request_ended`` with "no target left to try".
+    An engine that ends cuts its streams off a moment before it closes its port, so it
+    is not yet known to be dead. If its run counted against the route's limit, a stream
+    that moved to a second engine of the same rollout would be aborted with "no target
+    left to try", about 4 ms after it had begun there.
     """
 
     async def scenario():
@@ -239,7 +237,7 @@
 
 
 async def add_resetting_engine(site):
-    """Add an engine that resets each request, beside a good one, and return it."""
+    """Add an engine that resets each request and a healthy one; return the former."""
     bad = await site.add_engine("bad", "north", (0, 8))
     await site.add_engine("good", "north", (0, 8))
     await site.wait(lambda: len(get_targets(site)) == 2)
@@ -247,11 +245,11 @@
     return bad
 
 
-def test_engine_that_resets_all_requests_does_not_draw_them():
-    """An engine loses each request at once, while it says that it is well.
+def test_engine_that_resets_all_requests_does_not_attract_them():
+    """An engine resets each request at once, but its reports say that it is healthy.
 
-    It always looks idle, so that all requests went there: 78 of 2,000 callers of a data
-    centre were failed in five seconds ("Connection reset by peer; no repeat left").
+    It always looks idle, so that it would attract all requests and exhaust the retry
+    budget: 78 of 2,000 callers of a data centre failed within five seconds.
     """
 
     async def scenario():
@@ -286,10 +284,10 @@
 
 
 def test_stream_runs_at_no_third_engine_while_the_first_two_live():
-    """Two engines that run on are taken for dead, one after the other.
+    """Two engines that are still running are marked dead, one after the other.
 
-    Their silence was held for their end, and neither run counted: 19 requests of a day
-    of 69 hosts ran at three targets where their route allows two.
+    If being marked dead counted as proof that they have ended, neither run would count,
+    and the request would run on three targets where its route allows two.
     """
 
     async def scenario():
@@ -314,11 +312,10 @@
 
 
 def test_stream_waits_for_a_new_engine_as_long_as_its_caller_does():
-    """The only engine ends in a release; another has its layers 1.4 s later.
+    """The only engine ends in a rollout; another has its layers 1.4 s later.
 
-    Callers stay 2 s after the last event. The wait ended 1.0 s after it began, so that
-    streams were closed 0.7 s before their callers would have left: ``request_ended``
-    with "broken off: no chain with room".
+    Callers stay for 2 s after the last event. If the wait for a chain were limited to
+    1.0 s, the stream would be aborted 0.7 s before its caller would have left.
     """
 
     async def scenario():
@@ -340,10 +337,10 @@
 
 
 def test_engine_that_resets_all_requests_gets_none_twice_over_kept_connections():
-    """Reports leave a kept connection, on which a reset looks like a forgotten one.
+    """Reading reports leaves a connection on which a reset looks like a stale one.
 
-    Beside busy processes an engine that resets all was sent five of thirty requests,
-    two of them twice.
+    If such a reset were taken for a stale connection, the engine would get the request
+    twice. On a busy machine it got five of thirty requests, two of them twice.
     """
 
     async def scenario():
