--- a/marigoldswitch/gateway/forwarding.py
+++ b/marigoldswitch/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards the events of an answer to the caller, each exactly once."""
+"""Forwards the events of an answer to the caller, without those it already has."""
 
 import aiohttp
 
@@ -66,7 +66,7 @@
     def _is_duplicate(self, event: Event) -> bool:
         """Tell whether the caller has received an event before.
 
-        Numeric ids are taken to be in ascending order.
+        Numeric ids are taken to be in ascending order; an event without an id is new.
         """
         last = self._chain_monitor.last_event
         if event.id is None or last is None:
--- a/marigoldswitch/gateway/streams.py
+++ b/marigoldswitch/gateway/streams.py
@@ -2,7 +2,7 @@
 
 Engines may die, leave or stall in the middle of an answer. The caller still sees one
 answer: events are forwarded only when complete, the next chain resumes after the last
-forwarded event, and no event is forwarded twice.
+forwarded event, and no event with an id is forwarded twice.
 """
 
 from collections.abc import Sequence
