--- a/marigoldswitch/gateway/detours.py
+++ b/marigoldswitch/gateway/detours.py
@@ -121,20 +121,18 @@
         """
         self._restart_silence()
         self._progress_at = self._silent_since
-        work_task = asyncio.ensure_future(work)
+        pending = asyncio.ensure_future(work)
         monitor = asyncio.ensure_future(self._monitor_chain())
         try:
-            await asyncio.wait(
-                {work_task, monitor}, return_when=asyncio.FIRST_COMPLETED
-            )
-            if work_task.done():
-                return work_task.result()
+            await asyncio.wait({pending, monitor}, return_when=asyncio.FIRST_COMPLETED)
+            if pending.done():
+                return pending.result()
             monitor.result()
             raise AssertionError("the chain monitor ended without an exception")
         finally:
             self._stop_monitoring(monitor)
-            if not work_task.done():
-                work_task.cancel()
+            if not pending.done():
+                pending.cancel()
 
     @contextlib.asynccontextmanager
     async def monitor(self, response: aiohttp.ClientResponse) -> AsyncIterator[None]:
