--- a/marigoldswitch/gateway/exchanges.py
+++ b/marigoldswitch/gateway/exchanges.py
@@ -177,9 +177,9 @@
 def needs_own_connection(parts: RunParts, exchange: Exchange) -> bool:
     """Tell whether a request must not be sent over a reused connection.
 
-    If a reused connection breaks, it is unknown whether the request has run, which is
-    fatal for one that may run only once. Targets that accept few connections have no
-    room for idle ones.
+    One that may run only once must not: if the target closes the connection as the
+    request arrives, it can't be told whether it has run. Nor may one to targets that
+    accept few connections: they have no room for idle ones.
     """
     max_connections = exchange.service.most_connections
     if not may_keep_connections(max_connections, parts.planner.count_hosts()):
--- a/marigoldswitch/gateway/streams.py
+++ b/marigoldswitch/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Runs a streaming request over a chain of engines and fails over when a chain breaks.
+"""Runs a request over a chain of engines and fails over when the chain breaks.
 
 Engines may die, leave or stall in the middle of an answer. The caller still sees one
 answer: events are forwarded only when complete, the next chain resumes after the last
@@ -72,7 +72,7 @@
 
 
 class StreamRun:
-    """Runs one streaming request, over as many chains as it takes."""
+    """Runs one model or streaming request, over as many chains as it takes."""
 
     def __init__(self, parts: RunParts, exchange: Exchange) -> None:
         self.chain = ChainMonitor(parts, exchange)
--- a/marigoldswitch/gateway/upstream.py
+++ b/marigoldswitch/gateway/upstream.py
@@ -63,9 +63,9 @@
 class Upstream:
     """Sends requests to targets.
 
-    Requests that may not run twice use a new connection each: if a reused connection
-    closes, it is unknown whether the request has run. The others reuse connections, as
-    opening new ones costs targets time.
+    Requests that may not run twice use a new connection each: if the target closes a
+    reused one as a request arrives, it can't be told whether the request has run. The
+    others reuse connections, as opening new ones costs targets time.
     """
 
     def __init__(
