--- a/marigoldswitch/core/crashes.py
+++ b/marigoldswitch/core/crashes.py
@@ -1,14 +1,13 @@
-"""Which requests end the targets that run them, judged by the ends that hosts see.
+"""Identification of requests that crash the targets they run on.
 
-Load it answers: a request that ends each target which begins to run it. Sent again like
-any other, it ends every target of a service, and each end cuts off all streams that
-pass through the target. One that has most likely ended two targets is held off, before
-anyone else pays for a third.
+Retried like any other, such a request takes down all targets of a service, and each
+crash interrupts every stream through the target. A request that has most likely crashed
+two targets is therefore put on hold before it reaches a third.
 
-A target that ends cuts off many requests at once. Those to which it had not brought a
-word are the likely ones, and among them those that were there at an earlier end. What
-is known of an end adds up over all hosts, and each end counts once. A request that runs
-to its end is cleared.
+A crash interrupts many requests at once. The likely causes are those that had received
+no event from the target yet, above all those that were also running at an earlier
+crash. Hosts exchange what they have seen; each crash counts once over all hosts. A
+request that completes is cleared.
 """
 
 import zlib
@@ -20,38 +19,38 @@
 from marigoldswitch.core.gateway_messages import CrashNote, EndNote
 from marigoldswitch.core.ids import AccountId, TargetId
 
-UNKNOWN_CAUSE = 0.25
-"""Weight of all other causes of an end, where that of one request which had no word of
-the target is 1."""
-SERVED_WEIGHT = 0.01
-"""Weight of a request to which the target had brought something."""
-SUSPECT_WEIGHT = 100.0
-"""What a request weighs more for each end that it is to blame for."""
-HELD_BLAME = 1.3
-"""Ends for which a request is to blame from which it is held off. One end by itself may
-have any cause."""
-HELD_ENDS = 4
-"""The same for ends that nothing explains better, whatever the blame for each."""
-TOLD_BLAME = 25
-"""Hundredths of an end from which other hosts are told."""
-END_SECONDS = 600.0
-"""Time for which an end counts: requests that are sent again come sooner."""
+OTHER_CAUSES_WEIGHT = 0.25
+"""Weight of all other causes of a crash together; a request without an event and
+without earlier crashes weighs 1."""
+HAD_EVENT_WEIGHT = 0.01
+"""Weight of a request that had already received an event from the target."""
+PRIOR_BLAME_WEIGHT = 100.0
+"""Added weight of a request for each earlier crash attributed to it."""
+HOLD_MIN_BLAME = 1.3
+"""Attributed crashes from which a request is put on hold; a single one may have any
+cause."""
+HOLD_MIN_CRASHES = 4
+"""Crashes from which a request is put on hold however small its share of the blame, if
+no other request's share in them is more than twice as large."""
+SHARE_PERCENT = 25
+"""Blame for one crash, in percent, from which other hosts are informed."""
+EXPIRY_SECONDS = 600.0
+"""Age at which a record is dropped, except during a hold. Retries come sooner."""
 HOLD_SECONDS = 86_400.0
-"""Time for which a request is held off."""
-MOST_RECORDS = 512
-"""Requests of which ends are known: a hundred or so pass through a target."""
-MOST_OF_ACCOUNT = 128
-"""The same for one client account, so that none can push out what is known of others'
-requests."""
-MOST_TOLD = 64
-"""Requests told of in one message; each takes some 50 bytes."""
+"""Duration of a hold, from the latest crash."""
+MAX_RECORDS = 512
+"""Records kept; about a hundred requests pass through a target at once."""
+MAX_PER_ACCOUNT = 128
+"""Records per client account, so that no account can evict those of others."""
+MAX_NOTES = 64
+"""Requests in one message; each takes some 50 bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetStart:
-    """A target from one of its starts to its end.
+    """One run of a target's process, from start to exit.
 
-    :param born: when it started, in ms since 1970; 0 where it is not known.
+    :param born: start time in ms since 1970; 0 if unknown.
     """
 
     target: TargetId
@@ -60,9 +59,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CutRequest:
-    """A request that a target ran when it ended.
+    """A request that was running on a target when it crashed.
 
-    :param had_event: the target had brought something of its answer.
+    :param had_event: whether it had received an event from the target.
     """
 
     fingerprint: Fingerprint
@@ -72,10 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Why a request is held off.
+    """A ban on running a request, with its reason.
 
-    :param left: seconds until it may run again.
-    :param ends: the targets that it ended, and how long ago in seconds.
+    :param left: seconds until the request may run again.
+    :param ends: crashes attributed to the request, as target and age in seconds.
     """
 
     left: float
@@ -83,298 +82,312 @@
 
 
 @dataclass(slots=True)
-class _End:
-    """An end of a target.
+class _Crash:
+    """One crash of a target, as recorded for one request.
 
-    :ivar blame: of the request for it, in hundredths.
+    :ivar at: monotonic time, in seconds.
+    :ivar percent: share of the blame that the request bears, in percent.
     """
 
     at: float
-    blame: int
+    percent: int
 
 
 @dataclass(slots=True)
 class _Record:
+    """What is known of one request.
+
+    :ivar cleared_at: when it last completed.
+    :ivar held_at: latest crash that the hold rests on.
+    """
+
     account: AccountId | None
-    ends: dict[TargetStart, _End] = field(default_factory=dict)
-    cleared: float = float("-inf")
-    """When it last ran to its end."""
-    held: float = float("-inf")
-    """The last end for which it was held off."""
+    crashes: dict[TargetStart, _Crash] = field(default_factory=dict)
+    cleared_at: float = float("-inf")
+    held_at: float = float("-inf")
 
     @property
     def is_held(self) -> bool:
-        return self.held > self.cleared
+        return self.held_at > self.cleared_at
 
     @property
-    def is_told(self) -> bool:
-        """Tell whether other hosts must know of it."""
-        if self.is_held or self.cleared > float("-inf"):
+    def is_shared(self) -> bool:
+        """Tell whether other hosts need this record."""
+        if self.is_held or self.cleared_at > float("-inf"):
             return True
-        return any(item.blame >= TOLD_BLAME for item in self.ends.values())
+        return any(item.percent >= SHARE_PERCENT for item in self.crashes.values())
 
     @property
-    def changed(self) -> float:
-        """Return when anything was last learnt of it."""
-        ends = [item.at for item in self.ends.values()]
-        return max([self.cleared, self.held, *ends])
+    def changed_at(self) -> float:
+        """Return the time of the latest information."""
+        crashes = [item.at for item in self.crashes.values()]
+        return max([self.cleared_at, self.held_at, *crashes])
 
 
 class CrashLedger:
-    """The ends of targets by request, as far as this host knows."""
+    """Crash history by request, as known to this host; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._records: dict[Fingerprint, _Record] = {}
-        self._blames: dict[TargetStart, dict[Fingerprint, int]] = {}
-        """For each end, how much each request is to blame, in hundredths."""
-        self._news: dict[Fingerprint, None] = {}
-        """Requests of which something was learnt that others have not been told."""
+        self._percents: dict[TargetStart, dict[Fingerprint, int]] = {}
+        """Blame of each request for each crash, in percent."""
+        self._unsent: dict[Fingerprint, None] = {}
+        """Requests with changes that other hosts have not been sent."""
         self._checksum: int | None = 0
-        """``None`` until it is worked out again."""
+        """``None`` if it must be recomputed."""
 
     def __len__(self) -> int:
         return len(self._records)
 
-    # What this host sees.
+    # Events observed by this host.
 
     def knows(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a request was running at the end of a target."""
+        """Tell whether there is a record of a request."""
         return fingerprint in self._records
 
     def find_hold(self, fingerprint: Fingerprint, now: float) -> Hold | None:
-        """Return why a request must not run now, or ``None`` if it may."""
+        """Return the hold on a request, or ``None`` if it may run."""
         record = self._records.get(fingerprint)
         if record is None or not record.is_held:
             return None
-        left = record.held + HOLD_SECONDS - now
+        left = record.held_at + HOLD_SECONDS - now
         if left <= 0.0:
             return None
-        ends = ((item.target, now - end.at) for item, end in record.ends.items())
+        ends = ((run.target, now - crash.at) for run, crash in record.crashes.items())
         return Hold(left, tuple(ends))
 
     def note_end(
-        self, start: TargetStart, cut: Sequence[CutRequest], now: float
+        self, run: TargetStart, requests: Sequence[CutRequest], now: float
     ) -> None:
-        """Learn which requests a target ran when it ended; may be told again."""
+        """Record a crash and distribute the blame; may be repeated for the same crash.
+
+        :param requests: all requests of this host that the target was running.
+        """
         self._checksum = None
         self.expire(now)
         weights: dict[Fingerprint, float] = {}
-        for item in cut:
-            weight = self._weigh(item, start)
+        for item in requests:
+            weight = self._compute_weight(item, run)
             weights[item.fingerprint] = max(weight, weights.get(item.fingerprint, 0.0))
-        total = UNKNOWN_CAUSE + sum(weights.values())
-        for item in cut:
+        total = OTHER_CAUSES_WEIGHT + sum(weights.values())
+        for item in requests:
             blame = round(100 * weights[item.fingerprint] / total)
-            self._put_end(item.fingerprint, item.account, start, _End(now, blame))
-        for item in cut:
-            self._judge(item.fingerprint)
+            self._add_crash(item.fingerprint, item.account, run, _Crash(now, blame))
+        for item in requests:
+            self._hold_if_blamed(item.fingerprint)
 
     def note_served(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Learn that a request has run to its end; tell whether it was suspect."""
+        """Clear a request that has completed; tell whether it was a shared suspect."""
         record = self._records.get(fingerprint)
         if record is None:
             return False
         self._checksum = None
-        if not record.is_told:
-            self._drop(fingerprint)
+        if not record.is_shared:
+            self._remove_record(fingerprint)
             return False
-        was_suspect = bool(record.ends)
-        self._clear(fingerprint, now)
+        was_suspect = bool(record.crashes)
+        self._clear_crashes(fingerprint, now)
         if was_suspect:
-            self._news[fingerprint] = None
+            self._unsent[fingerprint] = None
         return was_suspect
 
     def expire(self, now: float) -> None:
-        """Forget what is too old to count."""
+        """Drop records that are too old."""
         for name, record in list(self._records.items()):
-            if record.is_held and now - record.held < HOLD_SECONDS:
+            if record.is_held and now - record.held_at < HOLD_SECONDS:
                 continue
-            if now - record.changed >= END_SECONDS:
+            if now - record.changed_at >= EXPIRY_SECONDS:
                 self._checksum = None
-                self._drop(name)
+                self._remove_record(name)
 
-    # What hosts tell each other.
+    # Exchange with other hosts.
 
     def list_notes(self, now: float) -> tuple[CrashNote, ...]:
-        """Return what a host that knows nothing must be told, the newest first."""
-        told = [
-            (name, record) for name, record in self._records.items() if record.is_told
+        """Return the notes for a host without any; holds first, then the newest."""
+        shared = [
+            (name, record) for name, record in self._records.items() if record.is_shared
         ]
-        told.sort(key=lambda item: (item[1].is_held, item[1].changed), reverse=True)
+        shared.sort(
+            key=lambda item: (item[1].is_held, item[1].changed_at), reverse=True
+        )
         return tuple(
-            _write_note(name, record, now) for name, record in told[:MOST_TOLD]
+            _build_note(name, record, now) for name, record in shared[:MAX_NOTES]
         )
 
     @property
     def has_urgent_news(self) -> bool:
-        """Tell whether others don't know yet that a request is held off."""
+        """Tell whether a hold or a change to one has not been sent to other hosts."""
         return any(
-            name in self._records and self._records[name].is_held for name in self._news
+            name in self._records and self._records[name].is_held
+            for name in self._unsent
         )
 
     def take_news(self, now: float) -> tuple[CrashNote, ...]:
-        """Return what was learnt since the last time and others must know."""
+        """Return one message of unsent changes, holds first; the rest stays unsent."""
         records = {
             name: self._records[name]
-            for name in self._news
-            if name in self._records and self._records[name].is_told
+            for name in self._unsent
+            if name in self._records and self._records[name].is_shared
         }
-        names = sorted(records, key=lambda name: not records[name].is_held)[:MOST_TOLD]
-        self._news = dict.fromkeys(name for name in records if name not in names)
-        return tuple(_write_note(name, records[name], now) for name in names)
+        names = sorted(records, key=lambda name: not records[name].is_held)[:MAX_NOTES]
+        self._unsent = dict.fromkeys(name for name in records if name not in names)
+        return tuple(_build_note(name, records[name], now) for name in names)
 
     def merge(self, notes: Iterable[CrashNote], now: float) -> None:
-        """Take what another host knows."""
+        """Merge the notes of another host."""
         self._checksum = None
         self.expire(now)
         for note in notes:
-            self._take_note(note, now)
+            self._merge_note(note, now)
 
     @property
     def checksum(self) -> int:
-        """Return a number that two hosts share if they know the same; 0 for nothing."""
+        """Return a checksum, equal on hosts with the same crashes and holds.
+
+        It is 0 if there is nothing to share.
+        """
         if self._checksum is None:
-            self._checksum = self._sum_up()
+            self._checksum = self._compute_checksum()
         return self._checksum
 
-    def _sum_up(self) -> int:
+    def _compute_checksum(self) -> int:
         told = sorted(
             (
                 name,
                 record.is_held,
-                sorted((item.target, item.born) for item in record.ends),
+                sorted((item.target, item.born) for item in record.crashes),
             )
             for name, record in self._records.items()
-            if record.is_told
+            if record.is_shared
         )
         return zlib.crc32(repr(told).encode()) if told else 0
 
-    # Parts of these.
-
-    def _weigh(self, item: CutRequest, start: TargetStart) -> float:
+    def _compute_weight(self, item: CutRequest, run: TargetStart) -> float:
         if item.had_event:
-            return SERVED_WEIGHT
+            return HAD_EVENT_WEIGHT
         record = self._records.get(item.fingerprint)
         if record is None:
             return 1.0
-        blame = self._sum_blame(record, start)
-        return 1.0 + SUSPECT_WEIGHT * blame
+        blame = self._sum_blame(record, run)
+        return 1.0 + PRIOR_BLAME_WEIGHT * blame
 
-    def _sum_blame(self, record: _Record, apart: TargetStart | None = None) -> float:
-        """Return the ends for which a request is to blame.
+    def _sum_blame(self, record: _Record, excluded: TargetStart | None = None) -> float:
+        """Return the number of crashes attributed to a request, with fractions.
 
-        Each end counts once for all requests together: hosts judge by their own, and a
-        target that ends cuts off those of several hosts.
+        All requests together are blamed at most once for a crash: a crash interrupts
+        requests of several hosts, and each host spreads the blame over its own.
 
-        :param apart: an end that is left out.
+        :param excluded: a crash that is not counted.
         """
         return sum(
-            end.blame / max(100, sum(self._blames[start].values()))
-            for start, end in record.ends.items()
-            if start != apart
+            crash.percent / max(100, sum(self._percents[run].values()))
+            for run, crash in record.crashes.items()
+            if run != excluded
         )
 
-    def _judge(self, fingerprint: Fingerprint) -> None:
-        """Hold a request off if it is to blame for too many ends."""
+    def _hold_if_blamed(self, fingerprint: Fingerprint) -> None:
+        """Put a request on hold if too many crashes are attributed to it."""
         record = self._records.get(fingerprint)
-        if record is None or len(record.ends) < 2:
+        if record is None or len(record.crashes) < 2:
             return
-        unexplained = sum(
-            2 * end.blame >= max(self._blames[start].values())
-            for start, end in record.ends.items()
+        likely_count = sum(
+            2 * crash.percent >= max(self._percents[run].values())
+            for run, crash in record.crashes.items()
         )
-        if self._sum_blame(record) < HELD_BLAME and unexplained < HELD_ENDS:
+        if self._sum_blame(record) < HOLD_MIN_BLAME and likely_count < HOLD_MIN_CRASHES:
             return
         if not record.is_held:
-            self._news[fingerprint] = None
-        record.held = max(item.at for item in record.ends.values())
+            self._unsent[fingerprint] = None
+        record.held_at = max(item.at for item in record.crashes.values())
 
-    def _put_end(
+    def _add_crash(
         self,
         fingerprint: Fingerprint,
         account: AccountId | None,
-        start: TargetStart,
-        end: _End,
+        run: TargetStart,
+        crash: _Crash,
     ) -> None:
         record = self._records.get(fingerprint)
         if record is None:
             self._make_room(account)
             record = self._records[fingerprint] = _Record(account)
-        if end.at <= record.cleared:
+        if crash.at <= record.cleared_at:
             return
-        known = record.ends.get(start)
+        known = record.crashes.get(run)
         if known is not None:
-            end = _End(max(known.at, end.at), end.blame)
-        if end.blame >= TOLD_BLAME and (known is None or known.blame != end.blame):
-            self._news[fingerprint] = None
-        record.ends[start] = end
-        self._blames.setdefault(start, {})[fingerprint] = end.blame
-
-    def _take_note(self, note: CrashNote, now: float) -> None:
+            crash = _Crash(max(known.at, crash.at), crash.percent)
+        if crash.percent >= SHARE_PERCENT and (
+            known is None or known.percent != crash.percent
+        ):
+            self._unsent[fingerprint] = None
+        record.crashes[run] = crash
+        self._percents.setdefault(run, {})[fingerprint] = crash.percent
+
+    def _merge_note(self, note: CrashNote, now: float) -> None:
         name = note.fingerprint
         record = self._records.get(name)
         if record is None:
             self._make_room(note.account)
             record = self._records[name] = _Record(note.account)
-        was_held, had_ends = record.is_held, bool(record.ends)
+        was_held, had_crashes = record.is_held, bool(record.crashes)
         if note.cleared >= 0.0:
-            self._clear(name, now - note.cleared)
-        if had_ends and not record.ends:
-            self._news[name] = None
+            self._clear_crashes(name, now - note.cleared)
+        if had_crashes and not record.crashes:
+            self._unsent[name] = None
         for item in note.ends:
-            start = TargetStart(item.target, item.born)
-            known = record.ends.get(start)
-            blame = max(item.blame, known.blame if known else 0)
-            self._put_end(name, note.account, start, _End(now - item.age, blame))
-        if note.held >= 0.0 and now - note.held > record.cleared:
-            record.held = max(record.held, now - note.held)
+            run = TargetStart(item.target, item.born)
+            known = record.crashes.get(run)
+            blame = max(item.blame, known.percent if known else 0)
+            self._add_crash(name, note.account, run, _Crash(now - item.age, blame))
+        if note.held >= 0.0 and now - note.held > record.cleared_at:
+            record.held_at = max(record.held_at, now - note.held)
         if record.is_held and not was_held:
-            self._news[name] = None
-        self._judge(name)
+            self._unsent[name] = None
+        self._hold_if_blamed(name)
 
-    def _clear(self, fingerprint: Fingerprint, at: float) -> None:
-        """Forget the ends before a moment at which a request ran well."""
+    def _clear_crashes(self, fingerprint: Fingerprint, at: float) -> None:
+        """Remove the crashes up to a moment at which a request completed."""
         record = self._records[fingerprint]
-        record.cleared = max(record.cleared, at)
-        for start, end in list(record.ends.items()):
-            if end.at <= at:
-                del record.ends[start]
-                self._forget_blame(start, fingerprint)
-
-    def _forget_blame(self, start: TargetStart, fingerprint: Fingerprint) -> None:
-        blames = self._blames[start]
+        record.cleared_at = max(record.cleared_at, at)
+        for run, crash in list(record.crashes.items()):
+            if crash.at <= at:
+                del record.crashes[run]
+                self._remove_blame(run, fingerprint)
+
+    def _remove_blame(self, run: TargetStart, fingerprint: Fingerprint) -> None:
+        blames = self._percents[run]
         del blames[fingerprint]
         if not blames:
-            del self._blames[start]
+            del self._percents[run]
 
     def _make_room(self, account: AccountId | None) -> None:
-        """Drop the least of the account's records, or of the fullest account."""
+        """Evict a record of the account, or of the largest one, if a limit is hit."""
         counts = Counter(item.account for item in self._records.values())
-        if counts[account] < MOST_OF_ACCOUNT:
-            if len(self._records) < MOST_RECORDS:
+        if counts[account] < MAX_PER_ACCOUNT:
+            if len(self._records) < MAX_RECORDS:
                 return
             account = counts.most_common(1)[0][0]
         names = [
             name for name, item in self._records.items() if item.account == account
         ]
-        self._drop(min(names, key=self._rank))
+        self._remove_record(min(names, key=self._get_eviction_rank))
 
-    def _rank(self, fingerprint: Fingerprint) -> tuple[bool, float, float]:
+    def _get_eviction_rank(self, fingerprint: Fingerprint) -> tuple[bool, float, float]:
         record = self._records[fingerprint]
-        return record.is_held, self._sum_blame(record), record.changed
+        return record.is_held, self._sum_blame(record), record.changed_at
 
-    def _drop(self, fingerprint: Fingerprint) -> None:
-        for start in self._records.pop(fingerprint).ends:
-            self._forget_blame(start, fingerprint)
+    def _remove_record(self, fingerprint: Fingerprint) -> None:
+        for run in self._records.pop(fingerprint).crashes:
+            self._remove_blame(run, fingerprint)
 
 
-def _write_note(fingerprint: Fingerprint, record: _Record, now: float) -> CrashNote:
+def _build_note(fingerprint: Fingerprint, record: _Record, now: float) -> CrashNote:
     ends = tuple(
-        EndNote(start.target, start.born, round(now - end.at, 2), end.blame)
-        for start, end in record.ends.items()
+        EndNote(run.target, run.born, round(now - crash.at, 2), crash.percent)
+        for run, crash in record.crashes.items()
     )
-    held = now - record.held if record.is_held else -1.0
-    cleared = now - record.cleared if record.cleared > float("-inf") else -1.0
+    held = now - record.held_at if record.is_held else -1.0
+    cleared = now - record.cleared_at if record.cleared_at > float("-inf") else -1.0
     return CrashNote(
         fingerprint, record.account, ends, round(held, 2), round(cleared, 2)
     )
--- a/marigoldswitch/core/event_stream.py
+++ b/marigoldswitch/core/event_stream.py
@@ -1,21 +1,21 @@
-"""Cuts a stream of server-sent events into whole events.
+"""Parser that splits a byte stream into server-sent events.
 
-Format: the WHATWG HTML standard, section "Server-sent events". Events are passed on as
-the bytes that they came in.
+Format: the WHATWG HTML standard, section "Server-sent events". The bytes of each event
+are kept unchanged, so that they can be passed on as received.
 """
 
 from dataclasses import dataclass
 
-MOST_BYTES = 1024 * 1024
-"""Longest event; a longer one is no event of ours."""
+MAX_EVENT_BYTES = 1024 * 1024
+"""Longest event that is accepted; none of our events is longer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
-    :param id: its ``id`` field, if it has one.
-    :param content: its bytes with the blank line that ends it.
+    :param id: its ``id`` field, if any.
+    :param content: its bytes, with the blank line that ends it.
     """
 
     id: str | None
@@ -23,44 +23,44 @@
 
 
 class EventTooLong(Exception):
-    """What came is no stream of events."""
+    """An event exceeds the size limit, as where the bytes are no event stream."""
 
 
 class EventSplitter:
-    """Collects bytes and gives out the events that are complete."""
+    """Buffers bytes and returns the events that are complete."""
 
     def __init__(self) -> None:
-        self._held = b""
+        self._buffer = b""
 
     @property
     def has_remainder(self) -> bool:
-        """Tell whether an event has begun and not ended."""
-        return len(self._held) > 0
+        """Tell whether the buffer holds an incomplete event."""
+        return len(self._buffer) > 0
 
     def feed(self, content: bytes) -> list[Event]:
-        """Take bytes and return the events that they complete.
+        """Add bytes and return the events that they complete.
 
-        :raises EventTooLong: if an event does not end.
+        :raises EventTooLong: if an incomplete event exceeds the size limit.
         """
-        data = self._held + content
+        data = self._buffer + content
         events = []
         begin = 0
         while (end := _find_end(data, begin)) > 0:
             piece = data[begin:end]
             events.append(Event(_read_id(piece), piece))
             begin = end
-        self._held = data[begin:]
-        if len(self._held) > MOST_BYTES:
+        self._buffer = data[begin:]
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise EventTooLong
         return events
 
 
 def _find_end(data: bytes, begin: int) -> int:
-    """Return the position behind the first blank line; 0 where there is none."""
+    """Return the position after the first blank line, or 0 if there is none."""
     ends = [
-        position + len(mark)
-        for mark in (b"\n\n", b"\r\n\r\n")
-        if (position := data.find(mark, begin)) >= 0
+        position + len(separator)
+        for separator in (b"\n\n", b"\r\n\r\n")
+        if (position := data.find(separator, begin)) >= 0
     ]
     return min(ends, default=0)
 
--- a/marigoldswitch/core/fingerprints.py
+++ b/marigoldswitch/core/fingerprints.py
@@ -1,4 +1,4 @@
-"""Tells whether two requests are the same one, sent again."""
+"""Fingerprints that identify a request when it is sent again."""
 
 import hashlib
 from typing import NewType
@@ -6,10 +6,10 @@
 from marigoldswitch.core.ids import AccountId
 
 Fingerprint = NewType("Fingerprint", str)
-"""Hexadecimal hash of what a request asks for and who asks, the same on all hosts."""
+"""Hexadecimal hash of a request's account, path and body, the same on all hosts."""
 
 FINGERPRINT_BYTES = 12
-"""Length of the hash: among a billion requests none has that of another by chance."""
+"""Length of the hash: long enough that a billion requests don't collide by chance."""
 
 
 def fingerprint_request(
@@ -17,10 +17,11 @@
 ) -> Fingerprint:
     """Return the fingerprint of a request.
 
-    A cryptographic hash: with another one a caller could write a request that has the
-    fingerprint of somebody else's.
+    The hash is cryptographic, so that a caller can't craft a request with the
+    fingerprint of another account's request.
 
-    :param path: with its query.
+    :param account: client account, or ``None`` if the request has none.
+    :param path: path with its query.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in ((account or "").encode(), path.encode()):
--- a/marigoldswitch/core/gaps.py
+++ b/marigoldswitch/core/gaps.py
@@ -1,48 +1,49 @@
-"""How long a stream may be silent before its engines are looked at.
+"""Adaptive timeouts for silent streams, from the gaps between their events.
 
-Load it answers: hosts with few streams each. A look asks every engine of a chain,
-unless another stream of the host has just shown that it lives, which with a stream or
-two at a time none does. So what counts as silence has to be right for each stream by
-itself: from the gaps between its events and their spread, not from the wait for its
-first one.
+When a stream is silent for longer than its timeout, every engine of its chain is
+probed, except those that another stream of the host has just shown to be alive. On a
+host with only a stream or two that saves no probes, so that the timeout must fit each
+stream by itself: it follows the mean and deviation of the gaps between its events, and
+leaves out the wait for the first one.
 """
 
-FIRST_SECONDS = 0.25
-"""Silence before a first event: half of the time in which it is worth most, several
-times the usual 45 ms."""
-LEAST_SECONDS = 0.05
-"""Callers count pauses over 200 ms as late, of which a look at a silent engine takes 40
-ms, and reading the prompt elsewhere 30 to 100 ms."""
+FIRST_EVENT_TIMEOUT = 0.25
+"""Timeout for the first event, in seconds: half of the time in which it is worth most,
+and several times the usual 45 ms."""
+MIN_TIMEOUT = 0.05
+"""Lower bound in seconds. Callers count pauses over 200 ms as late; a probe of a silent
+engine takes 40 ms of that, and reading the prompt on another one 30 to 100 ms."""
 MOST_SECONDS = 0.6
+"""Upper bound in seconds."""
 MEAN_FACTOR = 2.0
-"""A gap this many times the usual one is silence."""
-SPREAD_FACTOR = 4.0
-"""So is one that lies this many times the mean deviation above the usual one, as for
-the timeouts of RFC 6298: prompts that are read between two events stretch some."""
-WEIGHT = 0.2
-"""Weight of the newest gap in the mean of a stream, and of its deviation in theirs."""
+"""Smallest timeout as a multiple of the mean gap."""
+DEVIATION_FACTOR = 4.0
+"""Mean deviations by which the timeout exceeds the mean gap, as in RFC 6298: an engine
+that reads a prompt between two events delays the second."""
+STREAM_WEIGHT = 0.2
+"""Weight of the newest gap in the moving mean and mean deviation of a stream."""
 HOST_WEIGHT = 0.05
-"""Weight of the newest gap in the mean of all streams of a host."""
+"""Weight of the newest gap in the moving mean of all streams of a host."""
 
 
 class HostGaps:
-    """The mean gap between events of all streams of a host.
+    """Mean gap between events over all streams of a host.
 
-    :ivar mean: in seconds; 0 until there was one.
+    :ivar mean: moving mean in seconds; 0 before the first gap.
     """
 
     def __init__(self) -> None:
         self.mean = 0.0
 
     def note(self, gap: float) -> None:
-        """Learn of one gap, in seconds."""
+        """Add one gap, in seconds."""
         self.mean += (HOST_WEIGHT if self.mean else 1.0) * (gap - self.mean)
 
 
 class StreamGaps:
-    """The gaps between the events of one stream over one chain.
+    """Gaps between the events of one stream over one chain of engines.
 
-    :param host: those of all streams, which stand in until the stream has its own.
+    :param host: gaps of all streams, used until the stream has its own.
     """
 
     def __init__(self, host: HostGaps) -> None:
@@ -50,34 +51,37 @@
         self.begin()
 
     def begin(self) -> None:
-        """Begin anew, as a new chain has its own pace."""
-        self._last: float | None = None
+        """Reset the gaps for a new chain, which has its own pace."""
+        self._last_event: float | None = None
         self._mean = 0.0
-        self._spread = 0.0
+        self._deviation = 0.0
 
     def note_event(self, now: float) -> None:
-        """Learn that events have come, at a moment in monotonic seconds."""
-        last, self._last = self._last, now
+        """Record the arrival of events.
+
+        :param now: monotonic seconds.
+        """
+        last, self._last_event = self._last_event, now
         if last is None:
-            # The head of an answer comes with its first event: no gap between two.
+            # The head of an answer arrives with its first event: that is no gap.
             return
         gap = now - last
         self._host.note(gap)
         if self._mean == 0.0:
             self._mean = gap
             return
-        self._spread += WEIGHT * (abs(gap - self._mean) - self._spread)
-        self._mean += WEIGHT * (gap - self._mean)
+        self._deviation += STREAM_WEIGHT * (abs(gap - self._mean) - self._deviation)
+        self._mean += STREAM_WEIGHT * (gap - self._mean)
 
-    def choose_patience(self, caution: float = 1.0) -> float:
-        """Return the silence in seconds after which the chain is to be looked at.
+    def choose_patience(self, backoff: float = 1.0) -> float:
+        """Return the silence in seconds after which the chain is to be probed.
 
-        :param caution: factor for streams whose looks have found nothing.
+        :param backoff: factor that grows as probes of the chain find no fault.
         """
-        if self._last is None:
-            return FIRST_SECONDS
+        if self._last_event is None:
+            return FIRST_EVENT_TIMEOUT
         mean = self._mean or self._host.mean
         if mean == 0.0:
-            return FIRST_SECONDS
-        usual = max(MEAN_FACTOR * mean, mean + SPREAD_FACTOR * self._spread)
-        return min(MOST_SECONDS, caution * max(LEAST_SECONDS, usual))
+            return FIRST_EVENT_TIMEOUT
+        timeout = max(MEAN_FACTOR * mean, mean + DEVIATION_FACTOR * self._deviation)
+        return min(MOST_SECONDS, backoff * max(MIN_TIMEOUT, timeout))
--- a/marigoldswitch/core/local_health.py
+++ b/marigoldswitch/core/local_health.py
@@ -1,9 +1,8 @@
-"""Whether silence tells of a target, of the way to it, or of this host.
+"""Diagnosis of probe timeouts: the target, the network path, or this host.
 
-Load it answers: a host whose own link is full, or whose processor is taken, for some
-tens of milliseconds. All its probes are late together, and targets that live look dead.
-So silence counts against a target only if this host got an answer from elsewhere in the
-same time.
+If this host's link or processor is saturated for some tens of milliseconds, all its
+probes are late together and live targets look dead. So a timeout counts against a
+target only if this host received another answer in the same time.
 """
 
 from collections import deque
@@ -12,67 +11,72 @@
 
 from marigoldswitch.core.ids import DataCentre
 
-HEAD_START = 0.02
-"""Seconds by which another answer must have come earlier to speak against a target. A
-full link lets all answers through within some 10 ms of each other, in the order in
-which their questions were queued: the first ones say nothing of the last."""
-KEPT = 32
-"""Answers kept for a data centre, more than a host asks for in the time of a probe."""
+MIN_LEAD_SECONDS = 0.02
+"""Age that another answer must have to count against a target. A full link delivers
+queued answers within some 10 ms of each other, in the order of their probes: the first
+ones say nothing about the last."""
+ANSWERS_PER_DATA_CENTRE = 32
+"""Answers kept per data centre: more than a host requests during one probe."""
 
 
 class Cause(Enum):
-    """What the silence of a target is put down to."""
+    """Cause of a target's silence."""
 
     TARGET = "target"
-    """Others in its data centre have answered meanwhile."""
+    """Others in its data centre have answered in the meantime."""
     PATH = "path"
     """Others have answered, none of them in its data centre."""
     HOST = "host"
-    """Nobody has answered: it may be this host that is late."""
+    """No target has answered: this host itself may be late."""
     GONE = "gone"
     """Its port is closed: its process has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
-    """When a target was asked, and when its answer was heard."""
+    """Monotonic times of a probe and its answer."""
 
-    asked: float
-    heard: float
+    asked_at: float
+    received_at: float
 
 
 class LocalHealth:
-    """The newest answers that this host has got, by data centre."""
+    """Recent probe answers received by this host, by data centre."""
 
     def __init__(self) -> None:
         self._answers: dict[DataCentre, deque[_Answer]] = {}
 
     def note_answer(self, centre: DataCentre, asked: float, now: float) -> None:
-        """Learn that a target has answered.
+        """Record an answer.
 
-        :param asked: when it was asked, in monotonic seconds.
+        :param asked: when the target was probed, in monotonic seconds.
         """
-        answers = self._answers.setdefault(centre, deque(maxlen=KEPT))
+        answers = self._answers.setdefault(
+            centre, deque(maxlen=ANSWERS_PER_DATA_CENTRE)
+        )
         answers.append(_Answer(asked, now))
 
     def has_answered(self, centre: DataCentre, since: float) -> bool:
-        """Tell whether a target of a data centre has answered since a moment."""
-        return any(item.asked >= since for item in self._answers.get(centre, ()))
+        """Tell whether a probe sent since a moment to a data centre was answered."""
+        return any(item.asked_at >= since for item in self._answers.get(centre, ()))
 
     def explain_silence(self, centre: DataCentre, since: float, now: float) -> Cause:
-        """Return why a target of a data centre has been silent since a moment.
+        """Return the likely cause of a target's silence.
 
-        Only what was asked since then counts: an answer shows that the way was free
-        after its question, not before.
+        Only probes sent since then count: an answer shows that the path worked after
+        its probe was sent, not before.
+
+        :param centre: data centre of the target.
+        :param since: start of the silence, in monotonic seconds.
         """
-        heard = {
+        answering = {
             name
             for name, answers in self._answers.items()
             if any(
-                item.asked >= since and item.heard <= now - HEAD_START
+                item.asked_at >= since and item.received_at <= now - MIN_LEAD_SECONDS
                 for item in answers
             )
         }
-        if centre in heard:
+        if centre in answering:
             return Cause.TARGET
-        return Cause.PATH if heard else Cause.HOST
+        return Cause.PATH if answering else Cause.HOST
--- a/marigoldswitch/core/waiting.py
+++ b/marigoldswitch/core/waiting.py
@@ -1,10 +1,10 @@
-"""Who waits for room, in which order, and who is told at once to come back later.
+"""Priority queue of the requests that wait for room on engines.
 
-Load it answers: a burst, or the loss of engines, with more requests than there is
-memory for. Without a line, whoever happens to ask when something becomes free gets it,
-and urgent requests starve; with one that is too long, all its answers come late, as
-first events are worth most within half a second. So the line is ordered, short, and
-closed as soon as its end would wait too long.
+In a burst, or after a loss of engines, there are more requests than engine memory.
+Without a queue, freed memory goes to whichever request asks next, and urgent requests
+starve. With a long one all answers are late, as first events are worth most within half
+a second. So the queue is ordered by priority, and requests whose estimated wait is too
+long are rejected at once.
 """
 
 import bisect
@@ -14,21 +14,22 @@
 from marigoldswitch.core.ids import TargetId
 from marigoldswitch.core.retries import RecentCount
 
-RATE_SECONDS = 2.0
-"""Time over which admissions are counted: some ten of them at a host that is busy."""
-ALWAYS_WAITING = 2
-"""Requests that may wait whatever the rate, as after a calm time there is none yet."""
+RATE_WINDOW_SECONDS = 2.0
+"""Window of the admission rate; a busy host admits some ten requests in it."""
+MIN_CAPACITY = 2
+"""Requests that may wait at any admission rate, as the rate is 0 after an idle time."""
 
 
 @dataclass(order=True, slots=True)
 class Ticket:
-    """One request's place in a line.
+    """A request's place in the queue, ordered by its first three fields.
 
-    :param is_new: its caller has no part of an answer yet; the others go first, as what
-        they have been given is lost when they find no room.
+    :param is_new: whether the caller has received no part of an answer yet. Requests
+        whose answer has begun go first, as that part is lost if they find no room.
     :param priority: rank; 0 comes first.
-    :param number: order of arrival among equals.
-    :param avoid: targets that have just failed it.
+    :param number: order of arrival, for equal priorities.
+    :param tokens: size of the request.
+    :param avoid: targets that have just failed the request.
     """
 
     is_new: bool
@@ -39,12 +40,12 @@
 
 
 class WaitingLine:
-    """The requests of one service that wait at this host, the most urgent first."""
+    """Queue of one service on this host, the most urgent request first."""
 
     def __init__(self) -> None:
         self.tickets: list[Ticket] = []
-        self._numbers = itertools.count()
-        self._admitted = RecentCount(RATE_SECONDS)
+        self._sequence = itertools.count()
+        self._admitted = RecentCount(RATE_WINDOW_SECONDS)
 
     def make_ticket(
         self,
@@ -53,26 +54,26 @@
         avoid: frozenset[TargetId] = frozenset(),
         is_new: bool = True,
     ) -> Ticket:
-        """Return a ticket that is not in the line yet."""
-        return Ticket(is_new, priority, next(self._numbers), tokens, avoid)
+        """Return a new ticket without adding it to the queue."""
+        return Ticket(is_new, priority, next(self._sequence), tokens, avoid)
 
     def estimate_wait(self, ticket: Ticket, now: float) -> float:
-        """Return the seconds that a ticket would wait at its place in the line."""
+        """Return the seconds that a ticket would wait at its place in the queue."""
         ahead = bisect.bisect(self.tickets, ticket)
-        if ahead < ALWAYS_WAITING:
+        if ahead < MIN_CAPACITY:
             return 0.0
-        rate = self._admitted.read(now) / RATE_SECONDS
+        rate = self._admitted.read(now) / RATE_WINDOW_SECONDS
         return (ahead + 1) / rate if rate > 0.0 else float("inf")
 
     def join(self, ticket: Ticket) -> None:
-        """Take a ticket into the line."""
+        """Add a ticket to the queue."""
         bisect.insort(self.tickets, ticket)
 
     def leave(self, ticket: Ticket) -> None:
-        """Take a ticket out of the line, if it is there."""
+        """Remove a ticket from the queue, if it is there."""
         if ticket in self.tickets:
             self.tickets.remove(ticket)
 
     def note_admitted(self, now: float) -> None:
-        """Count a request that has got its place."""
+        """Count an admitted request."""
         self._admitted.add(now)
--- a/marigoldswitch/tests/test_errors.py
+++ b/marigoldswitch/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Every error kind has a row, and the server sends what the row and the page say."""
+"""Every error kind has a row, and answers and the errors page match the table."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("kind", ErrorKind)
-def test_every_kind_is_answered_as_its_row_says(kind):
+def test_answer_of_every_kind_matches_its_row(kind):
     row = ERROR_TABLE[kind]
     response = build_fault_response(Fault(kind))
     error = orjson.loads(response.body)["error"]
@@ -24,22 +24,22 @@
     assert ("Retry-After" in response.headers) == (row.retry_after is not None)
 
 
-def test_page_says_what_the_table_says():
+def test_errors_page_matches_the_table():
     assert PAGE.read_text(encoding="utf-8") == format_errors_page()
 
 
-def test_retry_later_says_when():
+def test_every_advice_to_retry_has_a_retry_after():
     for kind, row in ERROR_TABLE.items():
         if row.advice.value != "stop":
             assert row.retry_after is not None, kind
 
 
-def test_own_wait_replaces_the_default():
+def test_retry_after_of_a_fault_replaces_the_default():
     response = build_fault_response(Fault(ErrorKind.SATURATED, retry_after=7.2))
     assert response.headers["Retry-After"] == "8"
 
 
-def test_outcome_decides_not_run():
+def test_fault_is_not_run_if_its_outcome_is_not_run():
     for kind in ErrorKind:
         expected = ERROR_TABLE[kind].outcome is Outcome.NOT_RUN
         assert Fault(kind).not_run is expected
--- a/marigoldswitch/tests/test_fingerprints.py
+++ b/marigoldswitch/tests/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""A request sent again has the fingerprint that it had; any other one has another."""
+"""Equal requests have equal fingerprints, different requests different ones."""
 
 import contextlib
 
@@ -11,7 +11,7 @@
 from marigoldswitch.tests.gateway_site import run, run_site
 
 
-def test_request_sent_again_has_the_same_fingerprint():
+def test_equal_requests_have_the_same_fingerprint():
     once, again = (fingerprint_request("a", "/draft/1?x=2", b"text") for _ in "12")
     assert once == again
 
@@ -27,7 +27,7 @@
         ("a", "/draft/1t", b"ext"),
     ],
 )
-def test_another_caller_path_or_body_has_another_fingerprint(account, path, body):
+def test_other_account_path_or_body_changes_the_fingerprint(account, path, body):
     assert fingerprint_request(account, path, body) != fingerprint_request(
         "a", "/draft/1", b"text"
     )
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def log_lines():
-    """Capture all lines, whatever level an earlier test has set for the process."""
+    """Capture all log lines, whatever level an earlier test has configured."""
     config = structlog.get_config()
     structlog.reset_defaults()
     with capture_logs() as lines:
@@ -43,7 +43,7 @@
     structlog.configure(**config)
 
 
-def test_lost_run_is_logged_with_what_tells_causes_apart(log_lines):
+def test_lost_run_is_logged_with_fingerprint_and_retry_counts(log_lines):
     async def scenario():
         async with run_site(hosts=1) as site:
             for name in "xy":
--- a/marigoldswitch/tests/test_pacing.py
+++ b/marigoldswitch/tests/test_pacing.py
@@ -1,27 +1,26 @@
-"""A relay passes a configuration on without filling its link.
+"""A relay distributes a configuration without filling its link.
 
-Before, 24 hosts that asked in the same tenth of a second got their copies at once: no
-other frame could leave for 58 ms (24 copies of 6,062 bytes at 20 Mbit/s), twice as long
-as the first try of a probe may take. Paced, none waits longer than one copy takes, 2.4
-ms, and the last host has its own after 0.12 s. Log lines that showed it:
-``configuration_told``, 24 within 30 ms.
+If 24 hosts ask at the same time and get their copies at once (6,062 bytes each at 20
+Mbit/s), no other frame can leave for 58 ms, twice as long as the first try of a probe
+may take. With pacing no frame waits longer than one copy takes, 2.4 ms, and the last
+host has its copy after 0.12 s.
 """
 
 import pytest
 
 from marigoldswitch.clocks import ManualClock
-from marigoldswitch.core.pacing import LANES, Pacer
+from marigoldswitch.core.pacing import SIZE_CLASSES, Pacer
 
 LINK = 2_500_000.0
 COPY = 6_062
 HOSTS = 24
 PROBE_SECONDS = 0.025
 APPLY_SECONDS = 3.0
-"""In which a configuration must be in force on the sites with such links."""
+"""Time within which a configuration must be in force, even on the slowest links."""
 
 
 def send_all(size, hosts=HOSTS, link=LINK):
-    """Return when each of some frames that are due together leaves."""
+    """Return the departure times of frames that are due at the same time."""
     pacer = Pacer(link, ManualClock(100.0))
     return [pacer.reserve(size) for _ in range(hosts)]
 
@@ -35,7 +34,7 @@
     return longest
 
 
-def test_probe_never_waits_for_more_than_one_copy():
+def test_probe_waits_for_at_most_one_copy():
     at_once = measure_longest_wait([0.0] * HOSTS, COPY)
     assert at_once > 2 * PROBE_SECONDS
     paced = measure_longest_wait(send_all(COPY), COPY)
@@ -43,23 +42,23 @@
     assert paced < PROBE_SECONDS / 2
 
 
-def test_last_host_has_its_copy_in_time_on_the_slowest_link():
+def test_last_host_gets_its_copy_in_time_on_the_slowest_link():
     size = 20_000
     departures = send_all(size, 28, link=1_250_000.0)
     assert departures[-1] + size / 1_250_000.0 < APPLY_SECONDS / 2
 
 
-def test_pace_is_kept_over_moments_and_small_frames_pass():
+def test_large_frames_are_paced_and_small_ones_are_not():
     clock = ManualClock(5.0)
     pacer = Pacer(LINK, clock)
     assert pacer.reserve(COPY) == 0.0
-    assert pacer.reserve(LANES[-1][0] - 1) == 0.0
+    assert pacer.reserve(SIZE_CLASSES[-1][0] - 1) == 0.0
     assert pacer.reserve(COPY) > 0.0
     clock.advance(1.0)
     assert pacer.reserve(COPY) == 0.0
 
 
-def test_sums_of_loads_wait_for_no_configuration():
+def test_load_summaries_do_not_wait_for_configurations():
     pacer = Pacer(LINK, ManualClock(100.0))
     for _ in range(HOSTS):
         pacer.reserve(25_000)
--- a/marigoldswitch/tests/test_retries.py
+++ b/marigoldswitch/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: what may be tried again, and what all requests together may spend."""
+"""Retry decisions, and the retry budget that all requests share."""
 
 import random
 
@@ -11,7 +11,7 @@
     BUDGET_FLOOR,
     BUDGET_SHARE,
     BUDGET_WINDOW,
-    MOST_ATTEMPTS,
+    MAX_ATTEMPTS,
     GiveUp,
     Missed,
     Retry,
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("delivery", Delivery)
 @pytest.mark.parametrize("idempotent", [True, False])
 @pytest.mark.parametrize("trusts", [True, False])
-def test_only_what_cannot_run_twice_is_tried_again(delivery, idempotent, trusts):
+def test_only_attempts_that_cannot_run_twice_are_retried(delivery, idempotent, trusts):
     choice = decide(Miss(delivery, "x"), idempotent=idempotent, trusts_not_run=trusts)
     certain = delivery is Delivery.NOT_DELIVERED or (
         delivery is Delivery.REFUSED and trusts
@@ -40,12 +40,12 @@
     assert isinstance(choice, Retry) == (idempotent or certain)
 
 
-def test_stop_and_the_last_attempt_end_it():
+def test_advice_to_stop_and_last_attempt_are_not_retried():
     assert isinstance(decide(Miss(Delivery.REFUSED, "x", Advice.STOP)), GiveUp)
-    assert isinstance(decide(attempt=MOST_ATTEMPTS), GiveUp)
+    assert isinstance(decide(attempt=MAX_ATTEMPTS), GiveUp)
 
 
-def test_a_short_hint_is_waited_out_and_a_long_one_passed_on():
+def test_short_retry_after_is_waited_out_and_long_one_is_passed_on():
     def later(seconds):
         return Miss(Delivery.REFUSED, "full", Advice.RETRY_LATER, retry_after=seconds)
 
@@ -55,7 +55,7 @@
     assert decide(later(1.0), left=0.5) == GiveUp("deadline", 1.0)
 
 
-def test_one_busy_target_is_left_at_once_but_a_saturated_pool_slows_down():
+def test_one_busy_target_is_retried_elsewhere_at_once_but_saturated_pool_later():
     retries = ServiceRetries(random.Random(1))
     for number in range(100):
         retries.note_success(number / 100)
@@ -69,7 +69,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.floats(0.0, 3.0)), max_size=300))
-def test_retries_never_pass_the_share_of_recent_successes(events):
+def test_retries_never_exceed_the_share_of_recent_successes(events):
     budget, now = RetryBudget(), 0.0
     successes, spent = [], []
     for success, step in events:
@@ -86,7 +86,7 @@
         assert len(recent) <= bound + earlier
 
 
-def test_recoveries_of_streams_go_on_but_leave_less_for_retries():
+def test_stream_recoveries_are_always_allowed_and_reduce_the_budget():
     budget = RetryBudget()
     for _ in range(int(BUDGET_FLOOR * BUDGET_WINDOW)):
         budget.charge(1.0)
@@ -95,8 +95,8 @@
     assert budget.spend(2.0 + BUDGET_WINDOW)
 
 
-def test_a_dead_service_is_tried_a_bounded_number_of_times():
-    """A thousand requests a second that all miss: retries stay at the floor."""
+def test_retries_of_a_dead_service_are_bounded():
+    """A thousand requests a second all fail; retries stay at the floor."""
     retries = ServiceRetries(random.Random(1))
     lost = Miss(Delivery.MAY_HAVE_RUN, "lost")
     tried = sum(
@@ -106,7 +106,7 @@
     assert tried <= BUDGET_FLOOR * 30.0
 
 
-def test_a_targets_advice_reaches_the_caller():
+def test_advice_of_a_target_reaches_the_caller():
     async def play():
         async with run_deployment(data_centres=("hobart",)) as (deployment, session):
             desk = deployment.services["desk-0"]
--- a/marigoldswitch/tests/test_suspects.py
+++ b/marigoldswitch/tests/test_suspects.py
@@ -1,11 +1,11 @@
-"""Targets found dead are left out for longer each time, refusing ones but shortly."""
+"""Dead targets are excluded for longer each time, refusing ones only briefly."""
 
 from marigoldswitch.core.ids import TargetId
 from marigoldswitch.core.suspects import (
-    DEAD_SECONDS,
-    FAILED_SECONDS,
-    LONGEST_SECONDS,
-    REFUSED_SECONDS,
+    DEAD_EXCLUSION_SECONDS,
+    FAILED_EXCLUSION_SECONDS,
+    MAX_EXCLUSION_SECONDS,
+    REFUSED_EXCLUSION_SECONDS,
     Finding,
     Suspects,
 )
@@ -13,50 +13,50 @@
 NAME = TargetId("i-1")
 
 
-def test_dead_target_is_left_out_and_told():
+def test_dead_target_is_excluded_and_reported_to_listeners():
     suspects, told = Suspects(), []
     suspects.watch(told.append)
     suspects.note(NAME, Finding.DEAD, 0.0)
-    assert suspects.is_dead(NAME, DEAD_SECONDS / 2)
-    assert not suspects.is_out(NAME, DEAD_SECONDS)
+    assert suspects.is_dead(NAME, DEAD_EXCLUSION_SECONDS / 2)
+    assert not suspects.is_out(NAME, DEAD_EXCLUSION_SECONDS)
     assert told == [NAME]
 
 
-def test_refusing_target_is_back_soon_and_not_called_dead():
+def test_refusing_target_is_excluded_briefly_and_not_reported_dead():
     suspects = Suspects()
     suspects.note(NAME, Finding.REFUSED, 0.0)
-    assert suspects.is_out(NAME, REFUSED_SECONDS / 2)
-    assert not suspects.is_dead(NAME, REFUSED_SECONDS / 2)
-    assert not suspects.is_out(NAME, REFUSED_SECONDS)
+    assert suspects.is_out(NAME, REFUSED_EXCLUSION_SECONDS / 2)
+    assert not suspects.is_dead(NAME, REFUSED_EXCLUSION_SECONDS / 2)
+    assert not suspects.is_out(NAME, REFUSED_EXCLUSION_SECONDS)
 
 
-def test_time_out_doubles_up_to_a_bound():
+def test_exclusion_doubles_up_to_a_maximum():
     suspects, now = Suspects(), 0.0
     for _ in range(6):
         suspects.note(NAME, Finding.DEAD, now)
-        now += LONGEST_SECONDS
-    now -= LONGEST_SECONDS
-    assert suspects.is_out(NAME, now + LONGEST_SECONDS - 0.1)
-    assert not suspects.is_out(NAME, now + LONGEST_SECONDS)
+        now += MAX_EXCLUSION_SECONDS
+    now -= MAX_EXCLUSION_SECONDS
+    assert suspects.is_out(NAME, now + MAX_EXCLUSION_SECONDS - 0.1)
+    assert not suspects.is_out(NAME, now + MAX_EXCLUSION_SECONDS)
 
 
-def test_findings_that_come_together_count_once():
+def test_findings_in_quick_succession_count_once():
     suspects, told = Suspects(), []
     suspects.watch(told.append)
     for moment in (0.0, 0.01, 0.02):
         suspects.note(NAME, Finding.DEAD, moment)
     assert told == [NAME]
-    assert not suspects.is_out(NAME, DEAD_SECONDS)
+    assert not suspects.is_out(NAME, DEAD_EXCLUSION_SECONDS)
 
 
-def test_target_that_has_answered_is_taken_back():
+def test_target_that_has_answered_is_no_longer_excluded():
     suspects = Suspects()
     suspects.note(NAME, Finding.DEAD, 0.0)
     suspects.clear(NAME)
     assert not suspects.is_out(NAME, 0.1)
 
 
-def test_target_that_is_found_dead_again_and_again_stays_out():
+def test_target_repeatedly_found_dead_stays_excluded():
     suspects, told = Suspects(), []
     suspects.watch(told.append)
     for step in range(20):
@@ -81,11 +81,11 @@
     assert suspects.is_dead(NAME, 0.2)
 
 
-def test_target_that_loses_requests_is_out_and_not_called_dead():
+def test_target_that_loses_requests_is_excluded_and_not_reported_dead():
     suspects, told = Suspects(), []
     suspects.watch(told.append)
     suspects.note(NAME, Finding.FAILED, 0.0)
-    assert suspects.is_failing(NAME, FAILED_SECONDS / 2)
-    assert not suspects.is_dead(NAME, FAILED_SECONDS / 2)
-    assert not suspects.is_out(NAME, FAILED_SECONDS)
+    assert suspects.is_failing(NAME, FAILED_EXCLUSION_SECONDS / 2)
+    assert not suspects.is_dead(NAME, FAILED_EXCLUSION_SECONDS / 2)
+    assert not suspects.is_out(NAME, FAILED_EXCLUSION_SECONDS)
     assert told == []
--- a/marigoldswitch/tests/test_waiting.py
+++ b/marigoldswitch/tests/test_waiting.py
@@ -1,6 +1,6 @@
-"""The line is ordered, and closed to those who would wait too long."""
+"""Order of the queue, and estimates of the wait."""
 
-from marigoldswitch.core.waiting import ALWAYS_WAITING, WaitingLine
+from marigoldswitch.core.waiting import MIN_CAPACITY, WaitingLine
 
 
 def test_urgent_requests_come_first_and_equals_in_order():
@@ -11,14 +11,14 @@
     assert line.tickets == [tickets[3], tickets[1], tickets[2], tickets[0]]
 
 
-def test_burst_beyond_the_rate_is_told_at_once():
+def test_wait_in_a_burst_follows_the_admission_rate():
     line = WaitingLine()
     for moment in range(10):
         line.note_admitted(10.0 + moment / 10.0)
     for _ in range(6):
         line.join(line.make_ticket(1, 1))
     late = line.make_ticket(1, 1)
-    # Five a second are let in, so that the seventh waits 1.4 s.
+    # Five a second are admitted, so the seventh waits 1.4 s.
     assert 1.2 < line.estimate_wait(late, 11.0) < 1.6
 
 
@@ -29,15 +29,15 @@
     assert line.estimate_wait(line.make_ticket(0, 1), 0.0) == 0.0
 
 
-def test_a_few_may_wait_after_a_calm_time():
+def test_few_requests_may_wait_after_an_idle_time():
     line = WaitingLine()
-    for _ in range(ALWAYS_WAITING):
+    for _ in range(MIN_CAPACITY):
         assert line.estimate_wait(line.make_ticket(1, 1), 0.0) == 0.0
         line.join(line.make_ticket(1, 1))
     assert line.estimate_wait(line.make_ticket(1, 1), 0.0) == float("inf")
 
 
-def test_ticket_that_left_is_not_waited_for():
+def test_removed_ticket_is_no_longer_in_the_queue():
     line = WaitingLine()
     tickets = [line.make_ticket(1, 1) for _ in range(3)]
     for ticket in tickets:
