--- a/marigoldswitch/core/crashes.py
+++ b/marigoldswitch/core/crashes.py
@@ -35,7 +35,7 @@
 SHARE_PERCENT = 25
 """Blame for one crash, in percent, from which other hosts are informed."""
 EXPIRY_SECONDS = 600.0
-"""Age at which a record is dropped, except during a hold. Retries come sooner."""
+"""Age at which a record is dropped, except during a hold; retries come sooner."""
 HOLD_SECONDS = 86_400.0
 """Duration of a hold, from the latest crash."""
 MAX_RECORDS = 512
@@ -216,7 +216,7 @@
 
     @property
     def has_urgent_news(self) -> bool:
-        """Tell whether a hold or a change to one has not been sent to other hosts."""
+        """Tell whether unsent changes concern a request on hold."""
         return any(
             name in self._records and self._records[name].is_held
             for name in self._unsent
@@ -242,16 +242,13 @@
 
     @property
     def checksum(self) -> int:
-        """Return a checksum, equal on hosts with the same crashes and holds.
-
-        It is 0 if there is nothing to share.
-        """
+        """Return a checksum of crashes and holds, to compare hosts; 0 if none."""
         if self._checksum is None:
             self._checksum = self._compute_checksum()
         return self._checksum
 
     def _compute_checksum(self) -> int:
-        told = sorted(
+        shared = sorted(
             (
                 name,
                 record.is_held,
@@ -260,7 +257,7 @@
             for name, record in self._records.items()
             if record.is_shared
         )
-        return zlib.crc32(repr(told).encode()) if told else 0
+        return zlib.crc32(repr(shared).encode()) if shared else 0
 
     def _compute_weight(self, item: CutRequest, run: TargetStart) -> float:
         if item.had_event:
--- a/marigoldswitch/core/gaps.py
+++ b/marigoldswitch/core/gaps.py
@@ -2,9 +2,9 @@
 
 When a stream is silent for longer than its timeout, every engine of its chain is
 probed, except those that another stream of the host has just shown to be alive. On a
-host with only a stream or two that saves no probes, so that the timeout must fit each
-stream by itself: it follows the mean and deviation of the gaps between its events, and
-leaves out the wait for the first one.
+host with only a stream or two this exception saves no probes. So the timeout must fit
+each stream by itself: it follows the mean and deviation of the gaps between its events,
+and leaves out the wait for the first one.
 """
 
 FIRST_EVENT_TIMEOUT = 0.25
--- a/marigoldswitch/tests/test_gaps.py
+++ b/marigoldswitch/tests/test_gaps.py
@@ -45,13 +45,13 @@
 
 def test_hosts_with_few_streams_rarely_probe():
     """Expected are 0.11 probes a stream; with less accurate timeouts it was 1.69."""
-    source, looks, streams = random.Random(11), 0, 400
+    source, probes, streams = random.Random(11), 0, 400
     host = HostGaps()
     for _ in range(streams):
         pace = source.choice((0.04, 0.08, 0.12))
         gaps = [pace * (1.0 + source.expovariate(4.0)) for _ in range(EVENTS)]
-        looks += count_probes([0.0001, *gaps], host)
-    assert looks <= MAX_PROBES_PER_STREAM * streams
+        probes += count_probes([0.0001, *gaps], host)
+    assert probes <= MAX_PROBES_PER_STREAM * streams
 
 
 def test_timeout_is_two_mean_gaps_at_a_regular_pace():
--- a/marigoldswitch/tests/test_suspects.py
+++ b/marigoldswitch/tests/test_suspects.py
@@ -14,12 +14,12 @@
 
 
 def test_dead_target_is_excluded_and_reported_to_listeners():
-    suspects, told = Suspects(), []
-    suspects.watch(told.append)
+    suspects, reported = Suspects(), []
+    suspects.watch(reported.append)
     suspects.note(NAME, Finding.DEAD, 0.0)
     assert suspects.is_dead(NAME, DEAD_EXCLUSION_SECONDS / 2)
     assert not suspects.is_out(NAME, DEAD_EXCLUSION_SECONDS)
-    assert told == [NAME]
+    assert reported == [NAME]
 
 
 def test_refusing_target_is_excluded_briefly_and_not_reported_dead():
@@ -41,11 +41,11 @@
 
 
 def test_findings_in_quick_succession_count_once():
-    suspects, told = Suspects(), []
-    suspects.watch(told.append)
+    suspects, reported = Suspects(), []
+    suspects.watch(reported.append)
     for moment in (0.0, 0.01, 0.02):
         suspects.note(NAME, Finding.DEAD, moment)
-    assert told == [NAME]
+    assert reported == [NAME]
     assert not suspects.is_out(NAME, DEAD_EXCLUSION_SECONDS)
 
 
@@ -57,13 +57,13 @@
 
 
 def test_target_repeatedly_found_dead_stays_excluded():
-    suspects, told = Suspects(), []
-    suspects.watch(told.append)
+    suspects, reported = Suspects(), []
+    suspects.watch(reported.append)
     for step in range(20):
         now = 0.6 * step
         suspects.note(NAME, Finding.DEAD, now)
         assert suspects.has_been_dead(NAME, now, now)
-    assert told == [NAME]
+    assert reported == [NAME]
     assert not suspects.has_been_dead(NAME, now + 0.1, now)
 
 
@@ -82,10 +82,10 @@
 
 
 def test_target_that_loses_requests_is_excluded_and_not_reported_dead():
-    suspects, told = Suspects(), []
-    suspects.watch(told.append)
+    suspects, reported = Suspects(), []
+    suspects.watch(reported.append)
     suspects.note(NAME, Finding.FAILED, 0.0)
     assert suspects.is_failing(NAME, FAILED_EXCLUSION_SECONDS / 2)
     assert not suspects.is_dead(NAME, FAILED_EXCLUSION_SECONDS / 2)
     assert not suspects.is_out(NAME, FAILED_EXCLUSION_SECONDS)
-    assert told == []
+    assert reported == []
