--- a/marigoldswitch/gateway/crashes.py
+++ b/marigoldswitch/gateway/crashes.py
@@ -21,14 +21,14 @@
 port says so within a few milliseconds."""
 SETTLE_SECONDS = 0.005
 """Time in which all requests that a target has cut off are heard of."""
-MOST_LOGGED = 8
+MAX_LOGGED_FINGERPRINTS = 8
 """Fingerprints in a log line."""
-LATE_SECONDS = 1.0
+LATE_REPORT_SECONDS = 1.0
 """Time after an end in which further requests may be found to have been cut off."""
 
 
 @dataclass(slots=True)
-class _Cut:
+class _Interruption:
     """The requests of this host that one target has cut off."""
 
     requests: list[CutRequest] = field(default_factory=list)
@@ -36,16 +36,16 @@
     """Whether the target has ended."""
 
     @property
-    def is_proved(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Tell whether the target is known to have ended."""
-        return self._is_judged(True)
+        return self._has_verdict(True)
 
     @property
-    def is_disproved(self) -> bool:
+    def is_refuted(self) -> bool:
         """Tell whether the target was found alive."""
-        return self._is_judged(False)
+        return self._has_verdict(False)
 
-    def _is_judged(self, has_ended: bool) -> bool:
+    def _has_verdict(self, has_ended: bool) -> bool:
         verdict = self.verdict
         return verdict is not None and verdict.done() and verdict.result() is has_ended
 
@@ -53,18 +53,18 @@
 class CrashWatch:
     """What this host knows of requests that end targets.
 
-    :ivar tell: called with what other hosts must be told at once.
+    :ivar send_notes: called with what other hosts must be told at once.
     """
 
     def __init__(
         self, clock: Clock, directory: Directory, probes: EngineProbes
     ) -> None:
-        self.tell: Callable[[tuple[CrashNote, ...]], None] = lambda _: None
+        self.send_notes: Callable[[tuple[CrashNote, ...]], None] = lambda _: None
         self._clock = clock
         self._directory = directory
         self._probes = probes
         self._ledger = CrashLedger()
-        self._cuts: dict[TargetStart, _Cut] = {}
+        self._interruptions: dict[TargetStart, _Interruption] = {}
 
     @property
     def checksum(self) -> int:
@@ -89,27 +89,33 @@
         if row is None or row.leaving:
             return
         start = TargetStart(target.id, row.born)
-        cut = self._get_cut(start)
-        cut.requests.append(request)
-        if cut.verdict is None:
-            cut.verdict = asyncio.create_task(self._judge(start, target, cut))
-        elif cut.is_proved:
-            self._note_end(start, cut)
+        interruption = self._get_interruption(start)
+        interruption.requests.append(request)
+        if interruption.verdict is None:
+            interruption.verdict = asyncio.create_task(
+                self._confirm_end(start, target, interruption)
+            )
+        elif interruption.is_confirmed:
+            self._note_end(start, interruption)
         if not request.had_event or self._ledger.knows(request.fingerprint):
-            await asyncio.wait({cut.verdict}, timeout=VERDICT_SECONDS)
+            await asyncio.wait({interruption.verdict}, timeout=VERDICT_SECONDS)
 
-    def _get_cut(self, start: TargetStart) -> _Cut:
+    def _get_interruption(self, start: TargetStart) -> _Interruption:
         """Return what a target has cut off lately; anew if it was found alive since."""
-        cut = self._cuts.get(start)
-        if cut is None or cut.is_disproved:
-            cut = self._cuts[start] = _Cut()
+        interruption = self._interruptions.get(start)
+        if interruption is None or interruption.is_refuted:
+            interruption = self._interruptions[start] = _Interruption()
             loop = asyncio.get_running_loop()
-            loop.call_later(LATE_SECONDS, self._forget_cut, start, cut)
-        return cut
+            loop.call_later(
+                LATE_REPORT_SECONDS, self._forget_interruption, start, interruption
+            )
+        return interruption
 
-    def _forget_cut(self, start: TargetStart, cut: _Cut) -> None:
-        if self._cuts.get(start) is cut:
-            del self._cuts[start]
+    def _forget_interruption(
+        self, start: TargetStart, interruption: _Interruption
+    ) -> None:
+        if self._interruptions.get(start) is interruption:
+            del self._interruptions[start]
 
     def note_served(self, fingerprint: Fingerprint) -> None:
         """Learn that a request has run to its end."""
@@ -120,27 +126,29 @@
         """Return what a host that knows nothing must be told."""
         return self._ledger.list_notes(self._clock.monotonic())
 
-    def take_notes(self, notes: tuple[CrashNote, ...]) -> None:
+    def merge_notes(self, notes: tuple[CrashNote, ...]) -> None:
         """Take what another host knows, and tell others what of it is new."""
         self._ledger.merge(notes, self._clock.monotonic())
-        self._tell_if_urgent()
+        self._send_if_urgent()
 
-    def tell_news(self) -> None:
+    def send_pending_notes(self) -> None:
         """Tell other hosts what was learnt since the last time, if anything."""
-        news = self._ledger.take_news(self._clock.monotonic())
-        if news:
-            self.tell(news)
+        notes = self._ledger.take_news(self._clock.monotonic())
+        if notes:
+            self.send_notes(notes)
 
-    def _tell_if_urgent(self) -> None:
+    def _send_if_urgent(self) -> None:
         """Tell at once of a request that is held off.
 
         What is merely suspected waits and goes together: a rack that ends leaves
         hundreds of suspects.
         """
         if self._ledger.has_urgent_news:
-            self.tell_news()
+            self.send_pending_notes()
 
-    async def _judge(self, start: TargetStart, target: Target, cut: _Cut) -> bool:
+    async def _confirm_end(
+        self, start: TargetStart, target: Target, interruption: _Interruption
+    ) -> bool:
         """Tell whether a target has ended; if so, learn who was there.
 
         A reset connection, a cut link or a slow target is no end.
@@ -148,18 +156,18 @@
         if not await self._probes.has_ended(target, start.born):
             return False
         await asyncio.sleep(SETTLE_SECONDS)
-        self._note_end(start, cut)
+        self._note_end(start, interruption)
         logger.info(
             "target_ended",
             target=start.target,
             born=start.born,
-            requests=len(cut.requests),
+            requests=len(interruption.requests),
             without_event=[
-                item.fingerprint for item in cut.requests if not item.had_event
-            ][:MOST_LOGGED],
+                item.fingerprint for item in interruption.requests if not item.had_event
+            ][:MAX_LOGGED_FINGERPRINTS],
         )
         return True
 
-    def _note_end(self, start: TargetStart, cut: _Cut) -> None:
-        self._ledger.note_end(start, cut.requests, self._clock.monotonic())
-        self._tell_if_urgent()
+    def _note_end(self, start: TargetStart, interruption: _Interruption) -> None:
+        self._ledger.note_end(start, interruption.requests, self._clock.monotonic())
+        self._send_if_urgent()
--- a/marigoldswitch/gateway/followers.py
+++ b/marigoldswitch/gateway/followers.py
@@ -14,15 +14,15 @@
 
 logger = structlog.get_logger(__name__)
 
-NEWS_SHARE = 0.65
+CONFIGURATION_WAIT_SHARE = 0.65
 """Share of the time within which a host must be up to date again after trouble that a
 read waits for news. A connection that has gone silent is noticed half a second later,
 and connecting anew must fit in as well. Each read is paid for: where news may be older,
 there are fewer of them."""
-TARGETS_SHARE = 0.4
+TARGETS_WAIT_SHARE = 0.4
 """The same for the targets. Shorter, as a leaving engine is used for up to 0.8 s after
 it was seen to leave, which together must end before a host must be up to date."""
-PAUSE_SHARE = 0.075
+READ_PAUSE_SHARE = 0.075
 """Share of the time after which a leaving target must get no more work that a reader
 pauses between two reads of the targets: changes that come in series, as at a start, are
 then read together."""
@@ -41,13 +41,13 @@
 class Waits:
     """How long reads of the store wait, in seconds.
 
-    :param news: for a newer configuration.
+    :param configuration: for a newer configuration.
     :param targets: for changes of the targets.
     :param pause: between two reads of the targets, and after one that has brought a
         configuration.
     """
 
-    news: float
+    configuration: float
     targets: float
     pause: float
 
@@ -55,9 +55,9 @@
 def choose_waits(touch_seconds: float, leaving_seconds: float) -> Waits:
     """Return the waits that the bounds of a deployment allow; see its settings."""
     return Waits(
-        NEWS_SHARE * touch_seconds,
-        TARGETS_SHARE * touch_seconds,
-        PAUSE_SHARE * leaving_seconds,
+        CONFIGURATION_WAIT_SHARE * touch_seconds,
+        TARGETS_WAIT_SHARE * touch_seconds,
+        READ_PAUSE_SHARE * leaving_seconds,
     )
 
 
@@ -85,14 +85,14 @@
             logger.warning("dependency_lost", what=self._name, why=why)
         self.failures += 1
 
-    def choose_pause(self, source: random.Random, patience: float = 1.0) -> float:
+    def choose_pause(self, source: random.Random, backoff_factor: float = 1.0) -> float:
         """Return the seconds until the next try.
 
-        :param patience: factor for hosts that are not the first to read.
+        :param backoff_factor: factor for hosts that are not the first to read.
         """
-        lasting = self.failures >= FAILURES_IN_OUTAGE
-        pause = OUTAGE_RETRY_SECONDS if lasting else RETRY_SECONDS
-        return patience * pause * (1.0 + 0.5 * source.random())
+        is_outage = self.failures >= FAILURES_IN_OUTAGE
+        pause = OUTAGE_RETRY_SECONDS if is_outage else RETRY_SECONDS
+        return backoff_factor * pause * (1.0 + 0.5 * source.random())
 
 
 class ConfigurationFollower:
@@ -124,11 +124,13 @@
         """Follow the feed until cancelled."""
         while True:
             await self._reading.wait()
-            await self.look()
+            await self.poll_once()
 
-    async def look(self) -> None:
+    async def poll_once(self) -> None:
         """Wait for one piece of news."""
-        read = await self._feeds.wait_configuration(self._revision, self.waits.news)
+        read = await self._feeds.wait_configuration(
+            self._revision, self.waits.configuration
+        )
         match read:
             case Ok((stored, revision)):
                 self.dependency.note_success()
@@ -143,9 +145,9 @@
                 self._revision = 0
             case Err(fault):
                 self.dependency.note_failure(fault.value)
-                patience = self.get_patience()
+                backoff_factor = self.get_patience()
                 await asyncio.sleep(
-                    self.dependency.choose_pause(self._source, patience)
+                    self.dependency.choose_pause(self._source, backoff_factor)
                 )
 
 
@@ -181,10 +183,10 @@
         """Follow the feed until cancelled."""
         while True:
             await self._reading.wait()
-            await self.look()
+            await self.poll_once()
             await asyncio.sleep(self._choose_pause())
 
-    async def look(self) -> None:
+    async def poll_once(self) -> None:
         """Read once what has changed."""
         read = await self._feeds.wait_targets(self._revision, self.waits.targets)
         now = self._clock.monotonic()
--- a/marigoldswitch/gateway/roster.py
+++ b/marigoldswitch/gateway/roster.py
@@ -23,18 +23,18 @@
 FORGET_SECONDS = 120.0
 """A host of which nobody has told for this long is forgotten; it announces itself if it
 lives."""
-COUNT_SECONDS = 2.0
+SUMMARY_VALID_SECONDS = 2.0
 """Time for which a relay's count of hosts stands: several of its summaries."""
-LIST_SECONDS = 0.4
+HOST_LIST_WAIT_SECONDS = 0.4
 """Time after its start in which a host waits for the list of the others, which may read
 the store for it; otherwise a start of all reads every table once a host."""
-TOLD_RELAYS = 2
+RELAYS_PER_HOST = 2
 """Relays that a host tells of its loads: the one that sums up and the next, which is
 then ready to."""
-FAR_TRIES = 6
+REMOTE_RELAY_CANDIDATES = 6
 """Hosts of another data centre among which its relay is sought while none was heard:
 its first three, and as many that may have taken their places."""
-FAR_PEERS = 2
+REMOTE_PEERS = 2
 """Hosts of other data centres that a digest goes to where each host tells each other,
 drawn anew each time: news reaches all of them in some ten rounds."""
 
@@ -43,21 +43,21 @@
 class PeerState:
     """What is known of another host.
 
-    :ivar heard: when it was last heard.
-    :ivar known: when anybody last told of it.
-    :ivar read: when it was last said to read the store; ``None`` if it does not.
+    :ivar heard_at: when it was last heard.
+    :ivar mentioned_at: when anybody last told of it.
+    :ivar reading_at: when it was last said to read the store; ``None`` if it does not.
     :ivar rank: its place among the hosts of its data centre, the lowest first; built
         when it is heard, as it is asked for several times in each tick.
     """
 
     data_centre: DataCentre
     rank: HostRank
-    heard: float
-    known: float
+    heard_at: float
+    mentioned_at: float
     leaving: bool = False
     revision: int = 0
-    reads: bool = False
-    read: float | None = None
+    is_reader: bool = False
+    reading_at: float | None = None
 
 
 class Roster:
@@ -78,10 +78,10 @@
         self._home = home
         self._source = source
         self._turn = ReaderTurn()
-        self._began = clock.monotonic()
+        self._started_at = clock.monotonic()
         self.is_listed = False
         """The store has told of the other hosts."""
-        self._counted: dict[DataCentre, tuple[float, LoadSummary]] = {}
+        self._summaries: dict[DataCentre, tuple[float, LoadSummary]] = {}
         """What the relays of the data centres have counted, and when that was heard."""
 
     # What is learnt.
@@ -99,7 +99,7 @@
         """Take what a host says of itself and its peers; tell whether it is new."""
         now = self._clock.monotonic()
         known = self.peers.get(host)
-        read = now if digest.reads else None
+        reading_at = now if digest.reads else None
         self.peers[host] = PeerState(
             digest.data_centre,
             HostRank(-digest.strength, host),
@@ -108,21 +108,21 @@
             digest.leaving,
             digest.revision,
             digest.reads,
-            read,
+            reading_at,
         )
         for name in digest.readers:
             other = self.peers.get(name)
             if other is not None and digest.data_centre == self._home:
-                other.read = now
+                other.reading_at = now
         return known is None
 
-    def hear_summary(self, sender: HostId, summary: LoadSummary) -> None:
+    def update_from_summary(self, sender: HostId, summary: LoadSummary) -> None:
         """Take a relay's word on which hosts there are."""
         peer = self.peers.get(sender)
         if peer is None:
             return
         now = self._clock.monotonic()
-        self._counted[peer.data_centre] = (now, summary)
+        self._summaries[peer.data_centre] = (now, summary)
         if peer.data_centre != self._home:
             return
         for name in summary.hosts:
@@ -135,62 +135,63 @@
                 rank = HostRank(0, name)
                 self.peers[name] = PeerState(self._home, rank, past, now)
             else:
-                known.known = now
+                known.mentioned_at = now
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Drop the hosts that nobody has told of for long."""
         now = self._clock.monotonic()
         for host, item in list(self.peers.items()):
-            if now - max(item.heard, item.known) > FORGET_SECONDS:
+            if now - max(item.heard_at, item.mentioned_at) > FORGET_SECONDS:
                 del self.peers[host]
 
     # Who is there.
 
-    def list_near(self, seconds: float = SILENT_SECONDS) -> list[HostId]:
+    def list_local(self, seconds: float = SILENT_SECONDS) -> list[HostId]:
         """Return the hosts of this data centre that were heard so lately."""
-        return self._list_heard(seconds, near=True)
+        return self._list_heard(seconds, local=True)
 
     def count_near(self) -> int:
         """Return the live hosts of this data centre, this one among them."""
-        summary = None if self.is_lead else self._get_counted(self._home)
-        return summary.near if summary else 1 + len(self.list_near())
+        summary = None if self.is_lead else self._get_summary(self._home)
+        return summary.near if summary else 1 + len(self.list_local())
 
     def count_live(self) -> int:
         """Return the live hosts, this one among them."""
-        summary = None if self.is_lead else self._get_counted(self._home)
-        return summary.live if summary else self.count_near() + self._count_far()
+        summary = None if self.is_lead else self._get_summary(self._home)
+        return summary.live if summary else self.count_near() + self._count_remote()
 
-    def _count_far(self) -> int:
+    def _count_remote(self) -> int:
         """Return the live hosts of the other data centres."""
         heard = Counter(
             self.peers[host].data_centre
-            for host in self._list_heard(SILENT_SECONDS, near=False)
+            for host in self._list_heard(SILENT_SECONDS, local=False)
         )
-        for centre in self._counted:
-            summary = self._get_counted(centre)
+        for centre in self._summaries:
+            summary = self._get_summary(centre)
             if summary is not None and centre != self._home:
                 heard[centre] = max(heard[centre], summary.near)
         return sum(heard.values())
 
-    def _get_counted(self, centre: DataCentre) -> LoadSummary | None:
+    def _get_summary(self, centre: DataCentre) -> LoadSummary | None:
         """Return the newest count of a data centre's relay, if it still stands."""
-        at, summary = self._counted.get(centre, (float("-inf"), None))
-        fresh = self._clock.monotonic() - at < COUNT_SECONDS
+        at, summary = self._summaries.get(centre, (float("-inf"), None))
+        fresh = self._clock.monotonic() - at < SUMMARY_VALID_SECONDS
         return summary if fresh else None
 
-    def _list_heard(self, seconds: float, near: bool) -> list[HostId]:
+    def _list_heard(self, seconds: float, local: bool) -> list[HostId]:
         now = self._clock.monotonic()
         return [
             host
             for host, item in self.peers.items()
-            if now - item.heard < seconds and (item.data_centre == self._home) == near
+            if now - item.heard_at < seconds
+            and (item.data_centre == self._home) == local
         ]
 
     def list_ages(self) -> dict[HostId, float]:
         """Return the seconds since each host of this data centre was heard."""
         now = self._clock.monotonic()
         return {
-            host: now - item.heard
+            host: now - item.heard_at
             for host, item in self.peers.items()
             if item.data_centre == self._home and not item.leaving
         }
@@ -205,7 +206,7 @@
     # This host's part.
 
     @property
-    def is_mesh(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Tell whether the hosts of this data centre all tell each other."""
         return len(self.list_ages()) < MESH_HOSTS
 
@@ -228,7 +229,7 @@
     def must_read(self) -> bool:
         """Tell whether this host must follow the store by itself."""
         now = self._clock.monotonic()
-        if not self.is_listed and now - self._began < LIST_SECONDS:
+        if not self.is_listed and now - self._started_at < HOST_LIST_WAIT_SECONDS:
             return False
         readers = [
             self._rank(host)
@@ -242,20 +243,20 @@
         """Return how much longer than others this host waits in an outage."""
         return choose_patience(self._own_rank, self._rank_ages())
 
-    def hears_reader(self, revision: int) -> bool:
+    def is_level_with_reader(self, revision: int) -> bool:
         """Tell whether a host was heard that reads, and knows no more than this one.
 
         :param revision: up to which this host knows the targets.
         """
         now = self._clock.monotonic()
         return any(
-            item.reads
+            item.is_reader
             and item.revision <= revision
-            and now - item.heard < READER_SECONDS
+            and now - item.heard_at < READER_SECONDS
             for item in self.peers.values()
         )
 
-    def hears_any_reader(self) -> bool:
+    def hears_reader(self) -> bool:
         """Tell whether a host was heard lately that the store answers."""
         now = self._clock.monotonic()
         return any(_is_reading(item, now) for item in self.peers.values())
@@ -265,54 +266,56 @@
         return tuple(
             sorted(
                 host
-                for host in self.list_near(READER_SECONDS)
-                if self.peers[host].reads
+                for host in self.list_local(READER_SECONDS)
+                if self.peers[host].is_reader
             )
         )
 
     # Whom to tell.
 
-    def choose_near(self, to_all: bool = False) -> list[HostId]:
+    def choose_local_recipients(self, to_all: bool = False) -> list[HostId]:
         """Return the hosts of this data centre that get a digest.
 
         :param to_all: it is one of those that hosts get as well to which another relay
             speaks, or which have fallen silent.
         """
-        if not self.is_mesh and not self.is_relay:
-            return self.relays[:TOLD_RELAYS]
+        if not self.is_full_mesh and not self.is_relay:
+            return self.relays[:RELAYS_PER_HOST]
         if to_all:
             return list(self.list_ages())
-        if self.is_mesh or self.is_lead:
-            return self.list_near()
+        if self.is_full_mesh or self.is_lead:
+            return self.list_local()
         return [host for host in self.relays if host != self._own]
 
-    def choose_far(self) -> list[HostId]:
+    def choose_remote_recipients(self) -> list[HostId]:
         """Return the hosts of other data centres that get a digest."""
         far: dict[DataCentre, list[HostId]] = {}
         for host, item in self.peers.items():
             if item.data_centre != self._home:
                 far.setdefault(item.data_centre, []).append(host)
-        if self.is_mesh:
-            heard = self._list_heard(SILENT_SECONDS, near=False)
-            return self._source.sample(heard, min(FAR_PEERS, len(heard)))
+        if self.is_full_mesh:
+            heard = self._list_heard(SILENT_SECONDS, local=False)
+            return self._source.sample(heard, min(REMOTE_PEERS, len(heard)))
         if not self.is_lead:
             return []
-        return [host for hosts in far.values() for host in self._choose_relay(hosts)]
+        return [
+            host for hosts in far.values() for host in self._choose_remote_relay(hosts)
+        ]
 
-    def _choose_relay(self, hosts: list[HostId]) -> list[HostId]:
+    def _choose_remote_relay(self, hosts: list[HostId]) -> list[HostId]:
         """Return whom to tell of another data centre: its relay, as far as is known."""
         now = self._clock.monotonic()
         heard = [
-            host for host in hosts if now - self.peers[host].heard < SILENT_SECONDS
+            host for host in hosts if now - self.peers[host].heard_at < SILENT_SECONDS
         ]
         if len(hosts) < MESH_HOSTS:
-            return self._source.sample(heard, min(FAR_PEERS, len(heard)))
+            return self._source.sample(heard, min(REMOTE_PEERS, len(heard)))
         if heard:
             return [min(heard, key=self._rank)]
-        first = sorted(hosts, key=self._rank)[:FAR_TRIES]
-        return self._source.sample(first, FAR_PEERS)
+        first = sorted(hosts, key=self._rank)[:REMOTE_RELAY_CANDIDATES]
+        return self._source.sample(first, REMOTE_PEERS)
 
 
 def _is_reading(peer: PeerState, now: float) -> bool:
     """Tell whether a host was lately said to read the store."""
-    return peer.read is not None and now - peer.read < READER_SECONDS
+    return peer.reading_at is not None and now - peer.reading_at < READER_SECONDS
--- a/marigoldswitch/gateway/spread.py
+++ b/marigoldswitch/gateway/spread.py
@@ -26,33 +26,38 @@
 from marigoldswitch.core.loads import Usage
 from marigoldswitch.core.ports import Row
 from marigoldswitch.core.registry import Change
-from marigoldswitch.gateway.crash_news import CrashNews
-from marigoldswitch.gateway.news import News, SpreadParts
+from marigoldswitch.gateway.crash_news import CrashNoteExchange
+from marigoldswitch.gateway.news import SpreadParts, StateSync
 from marigoldswitch.gateway.ports import HostRecord
 from marigoldswitch.gateway.roster import SILENT_SECONDS, Roster
-from marigoldswitch.gateway.told import QUIET_SECONDS, TICK_SECONDS, Told, is_like
+from marigoldswitch.gateway.told import (
+    TICK_SECONDS,
+    UNCHANGED_DIGEST_SECONDS,
+    SendHistory,
+    has_same_content,
+)
 
 logger = structlog.get_logger(__name__)
 
-SUM_SECONDS = 0.2
+SUMMARY_SECONDS = 0.2
 """Seconds between two words of a host to its relays, and between two sums of these. A
 data centre of 30 hosts gets some 15 requests in this time for 150 that it has under
 way: choices that are off by that much are made up for by the random part of costs and
 by engines that are not filled to the brim."""
-ALL_SECONDS = 1.0
+BROADCAST_SECONDS = 1.0
 """Seconds between two digests to all hosts of the data centre, of a relay that does not
 sum up or of a host to which nobody has spoken; relays count hosts as live for 3 s."""
-FAR_SECONDS = 0.5
+REMOTE_DIGEST_SECONDS = 0.5
 """Seconds between two digests to the relays of other data centres, whose engines are
 used when those at home are full."""
-FAR_SUM_SECONDS = 1.5
+REMOTE_SUMMARY_SECONDS = 1.5
 """Seconds between two sums that tell of other data centres as well."""
-HOSTS_SECONDS = 15.0
+HOST_LIST_SECONDS = 15.0
 """Seconds between two sums that name all hosts, of which the others know by hearsay
 only: an eighth of the time after which a host is forgotten."""
-ORDERER_SECONDS = 1.2
+ORDERER_TIMEOUT_SECONDS = 1.2
 """Time for which the word of the host that holds the orderer's lease stands."""
-URGENT_SECONDS = 0.05
+URGENT_DIGEST_SECONDS = 0.05
 """Least time between two digests that are told out of turn."""
 
 
@@ -74,16 +79,18 @@
             parts.source,
             parts.identity.strength,
         )
-        self._orderer: LeaseNote | None = None
-        self._orderer_heard = float("-inf")
-        self._news = News(parts, self.roster.must_read, lambda: self._is_current)
-        self._told = Told()
-        take_digest: Callable[..., None] = self._take_digest
-        parts.network.register(LoadDigest, take_digest)
+        self._orderer_note: LeaseNote | None = None
+        self._orderer_heard_at = float("-inf")
+        self._state_sync = StateSync(
+            parts, self.roster.must_read, lambda: self._is_current
+        )
+        self._sent = SendHistory()
+        handle_digest: Callable[..., None] = self._handle_digest
+        parts.network.register(LoadDigest, handle_digest)
         parts.directory.registry.watch(self._note_change)
-        take_summary: Callable[..., None] = self._take_summary
-        parts.network.register(LoadSummary, take_summary)
-        self._crash_news = CrashNews(
+        handle_summary: Callable[..., None] = self._handle_summary
+        parts.network.register(LoadSummary, handle_summary)
+        self._crash_notes = CrashNoteExchange(
             parts.clock, parts.network, parts.crashes, self.roster
         )
 
@@ -91,7 +98,7 @@
     def hears_orderer(self) -> bool:
         """Tell whether another host has lately said that it orders the engines."""
         now = self._parts.clock.monotonic()
-        return now - self._orderer_heard < ORDERER_SECONDS
+        return now - self._orderer_heard_at < ORDERER_TIMEOUT_SECONDS
 
     def look_at_outage(self) -> OutageView:
         """Return what this host sees of an outage of the store."""
@@ -100,13 +107,13 @@
         return OutageView(
             HostId(self._parts.identity.host),
             lost,
-            roster.hears_any_reader(),
+            roster.hears_reader(),
             self.hears_orderer,
             roster.list_ages(),
         )
 
     @property
-    def _reads(self) -> bool:
+    def _is_reader(self) -> bool:
         """Tell whether this host follows the store, and the store answers."""
         parts = self._parts
         lost = (
@@ -118,16 +125,20 @@
     def _is_current(self) -> bool:
         """Tell whether this host may tell others of the targets."""
         parts = self._parts
-        if self._reads:
+        if self._is_reader:
             return True
         revision = parts.directory.registry.revision
-        return parts.directory.is_complete and self.roster.hears_reader(revision)
+        return parts.directory.is_complete and self.roster.is_level_with_reader(
+            revision
+        )
 
     @property
     def period(self) -> float:
         """Return the seconds until the next tick: what is due soonest at this host."""
         roster = self.roster
-        return TICK_SECONDS if roster.is_mesh or roster.is_relay else SUM_SECONDS
+        return (
+            TICK_SECONDS if roster.is_full_mesh or roster.is_relay else SUMMARY_SECONDS
+        )
 
     def greet(self) -> None:
         """Tell the hosts that must know of this one: each, or its relays.
@@ -135,89 +146,93 @@
         A greeting to each would open a connection for each pair at a start of all.
         """
         digest = self._build_digest()
-        near = self.roster.choose_near(to_all=True)
-        for host in (*near, *self.roster.choose_far()):
+        near = self.roster.choose_local_recipients(to_all=True)
+        for host in (*near, *self.roster.choose_remote_recipients()):
             self._parts.network.send(host, digest)
 
     def tell_now(self) -> None:
         """Tell the near hosts at once of what was found."""
         now = self._parts.clock.monotonic()
-        if now - self._told.at >= URGENT_SECONDS:
-            self._tell(self._build_digest(), to_all=False)
+        if now - self._sent.last_sent_at >= URGENT_DIGEST_SECONDS:
+            self._send_local(self._build_digest(), to_all=False)
 
     def tick(self) -> None:
         """Send what is due."""
         now = self._parts.clock.monotonic()
         roster = self.roster
         self._parts.loads.expire(now)
-        roster.forget()
-        self._crash_news.tick()
+        roster.expire()
+        self._crash_notes.tick()
         digest = self._build_digest()
-        to_all = self._told.is_past(now, "all", ALL_SECONDS)
+        to_all = self._sent.mark_if_due(now, "all", BROADCAST_SECONDS)
         if to_all or self._is_due(digest, now):
-            self._tell(digest, to_all)
-        if not roster.is_mesh and roster.is_lead:
-            self._sum_up(now)
-        if roster.is_mesh or self._told.is_past(now, "far", FAR_SECONDS):
-            self._tell_far(digest)
+            self._send_local(digest, to_all)
+        if not roster.is_full_mesh and roster.is_lead:
+            self._send_summary(now)
+        if roster.is_full_mesh or self._sent.mark_if_due(
+            now, "far", REMOTE_DIGEST_SECONDS
+        ):
+            self._send_remote(digest)
 
     def _is_due(self, digest: LoadDigest, now: float) -> bool:
         """Tell whether the near hosts should get a digest now."""
-        waited = now - self._told.at
-        if self._told.digest is not None and is_like(digest, self._told.digest):
-            return waited >= QUIET_SECONDS and self.roster.is_lead
-        return self.roster.is_mesh or waited >= SUM_SECONDS - TICK_SECONDS
-
-    def _tell(self, digest: LoadDigest, to_all: bool) -> None:
+        waited = now - self._sent.last_sent_at
+        if self._sent.last_digest is not None and has_same_content(
+            digest, self._sent.last_digest
+        ):
+            return waited >= UNCHANGED_DIGEST_SECONDS and self.roster.is_lead
+        return self.roster.is_full_mesh or waited >= SUMMARY_SECONDS - TICK_SECONDS
+
+    def _send_local(self, digest: LoadDigest, to_all: bool) -> None:
         """Send a digest to the near hosts; loads only to those that add them up."""
         now = self._parts.clock.monotonic()
-        self._told.digest, self._told.at = digest, now
+        self._sent.last_digest, self._sent.last_sent_at = digest, now
         self._parts.loads.note_told()
-        hosts = self.roster.choose_near(to_all)
-        adding = hosts
-        if not self.roster.is_mesh:
+        hosts = self.roster.choose_local_recipients(to_all)
+        summing = hosts
+        if not self.roster.is_full_mesh:
             relays = self.roster.relays
-            adding = [host for host in hosts if host in relays]
-        for host in adding:
+            summing = [host for host in hosts if host in relays]
+        for host in summing:
             self._parts.network.send(host, digest)
-        bare = replace(digest, usages=())
-        if to_all or not self._told.has_told_bare(bare, now):
+        stripped = replace(digest, usages=())
+        if to_all or not self._sent.has_sent_stripped(stripped, now):
             for host in hosts:
-                if host not in adding:
-                    self._parts.network.send(host, bare)
+                if host not in summing:
+                    self._parts.network.send(host, stripped)
 
-    def _tell_far(self, digest: LoadDigest) -> None:
-        hosts = self.roster.choose_far()
+    def _send_remote(self, digest: LoadDigest) -> None:
+        hosts = self.roster.choose_remote_recipients()
         messages: list[LoadDigest | LoadSummary] = [digest]
-        if hosts and not self.roster.is_mesh:
+        if hosts and not self.roster.is_full_mesh:
             sums = {self._home: self._parts.loads.sum_home()}
-            bare = replace(digest, usages=(), readers=())
-            messages = [bare, self._build_summary(sums)]
+            stripped = replace(digest, usages=(), readers=())
+            messages = [stripped, self._build_summary(sums)]
         for host in hosts:
             for message in messages:
                 self._parts.network.send(host, message)
 
-    def _sum_up(self, now: float) -> None:
+    def _send_summary(self, now: float) -> None:
         """Tell the hosts of this data centre what all of them hold together."""
-        if not self._told.is_past(now, "sum", SUM_SECONDS):
+        if not self._sent.mark_if_due(now, "sum", SUMMARY_SECONDS):
             return
         loads = self._parts.loads
         sums: dict[DataCentre, Mapping[TargetId, Usage]]
         sums = {self._home: loads.sum_home()}
-        if self._told.is_past(now, "far sum", FAR_SUM_SECONDS):
+        if self._sent.mark_if_due(now, "far sum", REMOTE_SUMMARY_SECONDS):
             sums |= loads.show_sums()
         summary = self._build_summary(sums)
-        if self._told.is_past(now, "hosts", HOSTS_SECONDS):
-            hosts = tuple(sorted(self.roster.list_near()))
+        if self._sent.mark_if_due(now, "hosts", HOST_LIST_SECONDS):
+            hosts = tuple(sorted(self.roster.list_local()))
             summary = replace(summary, hosts=hosts)
-        for host in self.roster.list_near():
+        for host in self.roster.list_local():
             self._parts.network.send(host, summary)
 
     def _build_summary(
         self, sums: Mapping[DataCentre, Mapping[TargetId, Usage]]
     ) -> LoadSummary:
         usages = tuple(
-            CentreUsage(centre, _write_usages(held))
+            CentreUsage(centre, _encode_usages(held))
             for centre, held in sorted(sums.items())
         )
         roster = self.roster
@@ -226,7 +241,7 @@
     def _build_digest(self) -> LoadDigest:
         parts = self._parts
         now = parts.clock.monotonic()
-        lease = self._write_lease(now)
+        lease = self._build_lease_note(now)
         slow = tuple(
             SlowTarget(name, factor)
             for name, factor in sorted(parts.planner.slowness.items())
@@ -240,7 +255,7 @@
             self._home,
             parts.directory.version,
             parts.directory.registry.revision,
-            _write_usages(parts.loads.own),
+            _encode_usages(parts.loads.own),
             tuple(parts.directory.suspects.list_dead(now)),
             slow if lease else (),
             tuple(
@@ -255,22 +270,26 @@
             ),
             lease,
             self.leaving,
-            self._reads,
+            self._is_reader,
             self.roster.list_readers(),
             self._is_current,
             parts.identity.strength,
             parts.crashes.checksum,
         )
 
-    def _write_lease(self, now: float) -> LeaseNote | None:
+    def _build_lease_note(self, now: float) -> LeaseNote | None:
         """Return the lease that this host holds, or as a relay has heard of."""
         held = self.lease.show_row() if self.lease else None
         if held is not None:
             own = HostId(self._parts.identity.host)
             return LeaseNote(encode_lease(held[0]), held[1], own)
-        if self._orderer is None or not self.hears_orderer or not self.roster.is_relay:
+        if (
+            self._orderer_note is None
+            or not self.hears_orderer
+            or not self.roster.is_relay
+        ):
             return None
-        return replace(self._orderer, age=round(now - self._orderer_heard, 2))
+        return replace(self._orderer_note, age=round(now - self._orderer_heard_at, 2))
 
     def _note_change(self, change: Change, target: Target) -> None:
         if change is Change.GONE:
@@ -279,25 +298,25 @@
 
     # Digests of others.
 
-    def _take_digest(self, sender: HostId, digest: LoadDigest) -> None:
+    def _handle_digest(self, sender: HostId, digest: LoadDigest) -> None:
         parts = self._parts
         now = parts.clock.monotonic()
         is_new = self.roster.hear(sender, digest)
         if is_new or digest.version < parts.directory.version:
             # A host that has just started is ready as soon as it knows whom to ask.
             parts.network.send(sender, self._build_digest())
-        usages = _read_usages(digest.usages)
+        usages = _decode_usages(digest.usages)
         parts.loads.hear(sender, digest.data_centre, usages, now)
-        self._check_dead(digest.dead, now)
+        self._probe_reported_dead(digest.dead, now)
         if digest.lease is not None:
-            self._take_orderer(digest.lease, digest, now)
-        elif self._orderer is not None and sender == self._orderer.holder:
+            self._update_orderer(digest.lease, digest, now)
+        elif self._orderer_note is not None and sender == self._orderer_note.holder:
             self._forget_orderer(now)
-        self._take_layers(digest.layers, now)
-        self._crash_news.compare(sender, digest.crashes)
-        self._news.ask(sender, digest, now)
+        self._update_layers(digest.layers, now)
+        self._crash_notes.resync_if_different(sender, digest.crashes)
+        self._state_sync.request_missing(sender, digest, now)
 
-    def _check_dead(self, names: tuple[TargetId, ...], now: float) -> None:
+    def _probe_reported_dead(self, names: tuple[TargetId, ...], now: float) -> None:
         """Look at engines that a peer says are dead.
 
         What a peer can't reach may well be alive: the peer may be cut off.
@@ -307,10 +326,10 @@
             target = parts.directory.registry.targets.get(name)
             if target is None or parts.directory.suspects.is_out(name, now):
                 continue
-            if self._has_use(target):
+            if self._must_probe(target):
                 parts.probes.check_later(target)
 
-    def _has_use(self, target: Target) -> bool:
+    def _must_probe(self, target: Target) -> bool:
         """Tell whether it matters to this host, or to those it tells, if one is dead.
 
         Engines of other data centres get few requests, and only while those at home are
@@ -320,38 +339,38 @@
         return (
             target.data_centre == self._home
             or target.id in self._parts.loads.own
-            or roster.is_mesh
+            or roster.is_full_mesh
             or roster.is_relay
             or (self.lease is not None and self.lease.holds)
         )
 
-    def _take_summary(self, sender: HostId, summary: LoadSummary) -> None:
+    def _handle_summary(self, sender: HostId, summary: LoadSummary) -> None:
         now = self._parts.clock.monotonic()
-        self.roster.hear_summary(sender, summary)
+        self.roster.update_from_summary(sender, summary)
         for item in summary.usages:
-            usages = _read_usages(item.usages)
+            usages = _decode_usages(item.usages)
             self._parts.loads.hear_sum(item.data_centre, usages, now)
 
     def _forget_orderer(self, now: float) -> None:
         """Learn that the host that ordered the engines does so no more."""
-        self._orderer_heard = float("-inf")
+        self._orderer_heard_at = float("-inf")
         if self.lease is not None:
             self.lease.note_released(now)
 
-    def _take_orderer(self, note: LeaseNote, digest: LoadDigest, now: float) -> None:
+    def _update_orderer(self, note: LeaseNote, digest: LoadDigest, now: float) -> None:
         """Take what the host that orders the engines knows and relays pass on."""
         parts = self._parts
         heard = now - note.age
-        known = self._orderer
+        known = self._orderer_note
         if known is not None and note.version < known.version:
             return
-        if heard <= self._orderer_heard:
+        if heard <= self._orderer_heard_at:
             return
-        is_given_up = known is not None and not self.hears_orderer
-        if is_given_up and note.age > 0.0 and known and note.version == known.version:
+        is_expired = known is not None and not self.hears_orderer
+        if is_expired and note.age > 0.0 and known and note.version == known.version:
             # A relay that has not heard yet that its holder gave it up.
             return
-        self._orderer, self._orderer_heard = note, heard
+        self._orderer_note, self._orderer_heard_at = note, heard
         if self.lease is not None and not self.lease.holds:
             try:
                 self.lease.see(Row(note.value, note.version), now)
@@ -361,7 +380,7 @@
         for slow in digest.slow:
             parts.planner.slowness[slow.target] = slow.factor
 
-    def _take_layers(self, layers: tuple[HeldLayers, ...], now: float) -> None:
+    def _update_layers(self, layers: tuple[HeldLayers, ...], now: float) -> None:
         """Take what engines were seen to hold, newer than what is known of them."""
         is_new = False
         for held in layers:
@@ -370,13 +389,13 @@
             if 0 < held.born < registry.get_born(held.target):
                 continue
             known = self.recent_layers.get(held.target)
-            if known is not None and at <= known[0] + URGENT_SECONDS:
+            if known is not None and at <= known[0] + URGENT_DIGEST_SECONDS:
                 continue
             span = LayerRange(held.first, held.end) if held.end else None
             is_new = is_new or known is None or known[1] != span
             registry.note_layers(held.target, span, held.born)
             self.recent_layers[held.target] = (at, span)
-        if is_new and self.roster.is_lead and not self.roster.is_mesh:
+        if is_new and self.roster.is_lead and not self.roster.is_full_mesh:
             self.tell_now()
 
     def meet(self, record: HostRecord) -> None:
@@ -384,7 +403,7 @@
         self.roster.meet(record)
 
 
-def _write_usages(held: Mapping[TargetId, Usage]) -> tuple[TargetUsage, ...]:
+def _encode_usages(held: Mapping[TargetId, Usage]) -> tuple[TargetUsage, ...]:
     return tuple(
         TargetUsage(name, usage.requests, usage.memory, usage.begun)
         for name, usage in sorted(held.items())
@@ -392,7 +411,7 @@
     )
 
 
-def _read_usages(usages: tuple[TargetUsage, ...]) -> dict[TargetId, Usage]:
+def _decode_usages(usages: tuple[TargetUsage, ...]) -> dict[TargetId, Usage]:
     return {
         item.target: Usage(item.requests, item.memory, item.begun) for item in usages
     }
--- a/marigoldswitch/tests/test_crash_spread.py
+++ b/marigoldswitch/tests/test_crash_spread.py
@@ -17,19 +17,19 @@
 from marigoldswitch.wire import MessageCodec
 
 CENTRES = ("north", "south", "west")
-TICK = 0.1
-DELAY = 0.02
+TICK_SECONDS = 0.1
+DELIVERY_SECONDS = 0.02
 
 
-class Hosts:
+class SimulatedNetwork:
     """Hosts of three data centres on a network without loss, but for hosts cut off."""
 
-    def __init__(self, of_centre):
+    def __init__(self, hosts_per_centre):
         self.now = 0.0
         self.queue = []
-        self.cut = set()
+        self.partitioned = set()
         self.sent = Counter()
-        self.bytes = Counter()
+        self.note_bytes = Counter()
         """Sent by each host to tell of requests that end targets."""
         self.spreads, self.watches = {}, {}
         self._codec = MessageCodec(GatewayMessage)
@@ -38,19 +38,19 @@
         self.names = [
             (HostId(f"10.{index + 1}.0.{number}:80"), DataCentre(centre))
             for index, centre in enumerate(CENTRES)
-            for number in range(10, 10 + of_centre)
+            for number in range(10, 10 + hosts_per_centre)
         ]
         for own, centre in self.names:
-            self.add(own, centre)
+            self.start_host(own, centre)
 
-    def add(self, own, centre):
+    def start_host(self, own, centre):
         """Start a host that knows nothing, or start it again."""
         handlers = self._handlers[own] = {}
         network = SimpleNamespace(
             register=handlers.__setitem__,
             send=lambda host, message: self._send(own, host, message),
         )
-        in_touch = SimpleNamespace(dependency=SimpleNamespace(is_lost=False))
+        feed = SimpleNamespace(dependency=SimpleNamespace(is_lost=False))
         directory = Directory()
         watch = CrashWatch(self._clock, directory, None)
         parts = SimpleNamespace(
@@ -62,8 +62,8 @@
             probes=None,
             crashes=watch,
             feeds=None,
-            configuration=in_touch,
-            targets=in_touch,
+            configuration=feed,
+            targets=feed,
             identity=SimpleNamespace(host=own, data_centre=centre, strength=0),
             source=random.Random(str(own)),
         )
@@ -74,101 +74,105 @@
         self.spreads[own].greet()
 
     def _send(self, own, host, message):
-        if own in self.cut or host in self.cut:
+        if own in self.partitioned or host in self.partitioned:
             return
         content = self._codec.encode(message)
         self.sent[type(message)] += 1
         if isinstance(message, CrashNotes):
-            self.bytes[own] += len(content)
-        self.queue.append((self.now + DELAY, own, host, content))
+            self.note_bytes[own] += len(content)
+        self.queue.append((self.now + DELIVERY_SECONDS, own, host, content))
 
-    def play(self, seconds):
+    def run_for(self, seconds):
         """Deliver what is sent and tick; messages pass through their codec."""
         end = self.now + seconds
         while self.now < end:
-            self.now += DELAY
+            self.now += DELIVERY_SECONDS
             due = [item for item in self.queue if item[0] <= self.now]
             self.queue = [item for item in self.queue if item[0] > self.now]
             for _, sender, host, content in due:
                 message = self._codec.decode(content).unwrap()
                 handler = self._handlers[host].get(type(message))
-                if handler is not None and host not in self.cut:
+                if handler is not None and host not in self.partitioned:
                     handler(sender, message)
-            if round(self.now / DELAY) % round(TICK / DELAY) == 0:
+            if (
+                round(self.now / DELIVERY_SECONDS)
+                % round(TICK_SECONDS / DELIVERY_SECONDS)
+                == 0
+            ):
                 for spread in self.spreads.values():
                     spread.tick()
 
-    def crash(self, host, number, name="bad"):
+    def report_crash(self, host, number, name="bad"):
         """Have a host see that a request has ended a target."""
         watch = self.watches[host]
         cut = [CutRequest(name, None, False)]
         watch._ledger.note_end(TargetStart(f"engine-{number}", 1), cut, self.now)
-        watch._tell_if_urgent()
+        watch._send_if_urgent()
 
-    def list_unaware(self, name="bad"):
+    def list_without_hold(self, name="bad"):
         return [
             host for host, watch in self.watches.items() if not watch.find_hold(name)
         ]
 
 
-@pytest.mark.parametrize("of_centre", [3, 20])
-def test_all_hosts_hold_off_a_request_that_two_hosts_saw_end_targets(of_centre):
-    hosts = Hosts(of_centre)
-    hosts.play(3.0)
-    hosts.crash(hosts.names[1][0], 1)
-    hosts.crash(hosts.names[-1][0], 2)
-    hosts.play(1.0)
-    assert not hosts.list_unaware()
+@pytest.mark.parametrize("hosts_per_centre", [3, 20])
+def test_all_hosts_hold_off_a_request_that_two_hosts_saw_end_targets(hosts_per_centre):
+    hosts = SimulatedNetwork(hosts_per_centre)
+    hosts.run_for(3.0)
+    hosts.report_crash(hosts.names[1][0], 1)
+    hosts.report_crash(hosts.names[-1][0], 2)
+    hosts.run_for(1.0)
+    assert not hosts.list_without_hold()
 
 
-@pytest.mark.parametrize("of_centre", [3, 20])
-def test_hosts_that_were_cut_off_or_start_again_learn_of_it(of_centre):
-    hosts = Hosts(of_centre)
-    hosts.play(3.0)
+@pytest.mark.parametrize("hosts_per_centre", [3, 20])
+def test_hosts_that_were_cut_off_or_start_again_learn_of_it(hosts_per_centre):
+    hosts = SimulatedNetwork(hosts_per_centre)
+    hosts.run_for(3.0)
     lost = [hosts.names[0][0], hosts.names[-1][0]]
-    hosts.cut = set(lost)
+    hosts.partitioned = set(lost)
     for number in (1, 2):
-        hosts.crash(hosts.names[1][0], number)
-    hosts.play(5.0)
-    assert set(hosts.list_unaware()) == set(lost)
-    hosts.cut = set()
+        hosts.report_crash(hosts.names[1][0], number)
+    hosts.run_for(5.0)
+    assert set(hosts.list_without_hold()) == set(lost)
+    hosts.partitioned = set()
     again, centre = hosts.names[2]
-    hosts.add(again, centre)
-    hosts.play(3.0)
-    assert not hosts.list_unaware()
+    hosts.start_host(again, centre)
+    hosts.run_for(3.0)
+    assert not hosts.list_without_hold()
 
 
 def test_nothing_is_sent_of_requests_when_no_target_has_ended():
-    hosts = Hosts(5)
-    hosts.play(5.0)
+    hosts = SimulatedNetwork(5)
+    hosts.run_for(5.0)
     assert hosts.sent[CrashNotes] == 0
 
 
-@pytest.mark.parametrize("of_centre", [5, 20])
-def test_notes_stop_when_all_hosts_know_the_same(of_centre):
-    hosts = Hosts(of_centre)
-    hosts.play(3.0)
+@pytest.mark.parametrize("hosts_per_centre", [5, 20])
+def test_notes_stop_when_all_hosts_know_the_same(hosts_per_centre):
+    hosts = SimulatedNetwork(hosts_per_centre)
+    hosts.run_for(3.0)
     for number in (1, 2):
-        hosts.crash(hosts.names[1][0], number)
-    hosts.play(5.0)
+        hosts.report_crash(hosts.names[1][0], number)
+    hosts.run_for(5.0)
     hosts.sent.clear()
-    hosts.play(5.0)
+    hosts.run_for(5.0)
     assert hosts.sent[CrashNotes] == 0
 
 
-@pytest.mark.parametrize("of_centre", [3, 20])
-def test_loss_of_a_rack_is_told_in_few_bytes(of_centre):
+@pytest.mark.parametrize("hosts_per_centre", [3, 20])
+def test_notes_on_the_loss_of_a_rack_take_few_bytes(hosts_per_centre):
     """Thirty targets end, each under a request of a third of the hosts.
 
     What a host may spend on control is 2 KB/s, and a rack goes every month or two: this
     takes what is allowed for a minute.
     """
-    hosts = Hosts(of_centre)
-    hosts.play(3.0)
+    hosts = SimulatedNetwork(hosts_per_centre)
+    hosts.run_for(3.0)
     for number in range(30):
         for index, (host, _) in enumerate(hosts.names):
             if (index + number) % 3 == 0:
-                hosts.crash(host, number, f"r-{number}-{index}")
-        hosts.play(0.1)
-    hosts.play(5.0)
-    assert sum(hosts.bytes.values()) <= len(hosts.names) * 60 * 2_000
+                hosts.report_crash(host, number, f"r-{number}-{index}")
+        hosts.run_for(0.1)
+    hosts.run_for(5.0)
+    assert sum(hosts.note_bytes.values()) <= len(hosts.names) * 60 * 2_000
--- a/marigoldswitch/tests/test_crashes.py
+++ b/marigoldswitch/tests/test_crashes.py
@@ -15,7 +15,7 @@
 )
 
 CRASHING = b"ends what runs it"
-MOST_ENDS = 3
+MAX_ENDS = 3
 
 
 async def send(site, number, host, body, path="/draft/1"):
@@ -47,7 +47,7 @@
             await add_crashing_engines(site, 8)
             for number in range(8):
                 await send(site, number, number % 2, CRASHING)
-            assert count_ends(site.engines.engines.values()) <= MOST_ENDS
+            assert count_ends(site.engines.engines.values()) <= MAX_ENDS
             status, body = await send(site, 9, 0, b"{}")
             assert (status, list_ids(body)) == (200, ALL_EVENTS)
 
@@ -64,7 +64,7 @@
             await site.wait(lambda: len(get_targets(site)) == 9)
             for number in range(3):
                 await send(site, number, 0, CRASHING)
-            assert 1 <= count_ends(site.engines.engines.values()) <= MOST_ENDS
+            assert 1 <= count_ends(site.engines.engines.values()) <= MAX_ENDS
             status, body = await send(site, 9, 0, b"{}")
             assert (status, list_ids(body)) == (200, ALL_EVENTS)
 
@@ -83,7 +83,7 @@
                 assert sum(item.runs[f"try-{number}"] for item in site.desks) <= 1
                 if status == 503:
                     assert not any(item.runs[f"try-{number}"] for item in site.desks)
-            assert 1 <= count_ends(site.desks) <= MOST_ENDS
+            assert 1 <= count_ends(site.desks) <= MAX_ENDS
             assert (await send(site, 9, 0, b"{}", "/once/1"))[0] == 200
 
     run(scenario())
@@ -163,8 +163,8 @@
 def test_request_costs_no_fingerprint_while_no_target_has_ended(monkeypatch):
     """Before: none at all. Working one out takes 2 us for a body of 2 KB, 0.7 ms for 1
     MB; a look-up among 512 requests takes 0.1 us."""
-    worked_out = []
-    monkeypatch.setattr(exchanges, "fingerprint_request", worked_out.append)
+    computed = []
+    monkeypatch.setattr(exchanges, "fingerprint_request", computed.append)
 
     async def scenario():
         async with run_site(hosts=1, desks=1) as site:
@@ -172,7 +172,7 @@
             await site.wait(lambda: len(get_targets(site)) == 2)
             for number, path in enumerate(("/draft/1", "/once/1", "/look/1")):
                 assert (await send(site, number, 0, b"{}", path))[0] == 200
-            assert not worked_out
+            assert not computed
 
     run(scenario())
 
--- a/marigoldswitch/tests/test_followers_pause.py
+++ b/marigoldswitch/tests/test_followers_pause.py
@@ -17,30 +17,37 @@
 )
 from marigoldswitch.tests.helpers import run_virtually
 
-PATIENCE = 9.0
-SILENT_SECONDS = 0.5
+BACKOFF_FACTOR = 9.0
+SILENCE_SECONDS = 0.5
 """Time beyond a read's wait after which its connection counts as silent."""
-USED_SECONDS = 0.8
+LEAVING_USE_SECONDS = 0.8
 """Time for which a target that leaves may still get work once it was seen to leave."""
 
 
-def fail(times):
+def build_failed_dependency(times):
     dependency = Dependency("a feed")
     for _ in range(times):
         dependency.note_failure("unavailable")
     return dependency
 
 
-def test_first_hosts_try_again_at_once_and_slower_in_a_lasting_outage():
+def test_first_hosts_retry_soon_and_more_slowly_in_a_lasting_outage():
     source = random.Random(1)
-    assert RETRY_SECONDS <= fail(1).choose_pause(source) <= 1.5 * RETRY_SECONDS
-    lasting = fail(FAILURES_IN_OUTAGE).choose_pause(source)
-    assert OUTAGE_RETRY_SECONDS <= lasting <= 1.5 * OUTAGE_RETRY_SECONDS
+    assert (
+        RETRY_SECONDS
+        <= build_failed_dependency(1).choose_pause(source)
+        <= 1.5 * RETRY_SECONDS
+    )
+    outage_pause = build_failed_dependency(FAILURES_IN_OUTAGE).choose_pause(source)
+    assert OUTAGE_RETRY_SECONDS <= outage_pause <= 1.5 * OUTAGE_RETRY_SECONDS
 
 
 def test_other_hosts_wait_longer_from_their_first_failure_on():
     source = random.Random(1)
-    assert fail(1).choose_pause(source, PATIENCE) >= PATIENCE * RETRY_SECONDS
+    assert (
+        build_failed_dependency(1).choose_pause(source, BACKOFF_FACTOR)
+        >= BACKOFF_FACTOR * RETRY_SECONDS
+    )
 
 
 @pytest.mark.parametrize(("touch", "leaving"), [(3.0, 2.0), (4.0, 3.0), (5.0, 4.0)])
@@ -51,21 +58,24 @@
     may be 5 s behind.
     """
     waits = choose_waits(touch, leaving)
-    new_way = RETRY_SECONDS * 1.5
-    assert waits.news + SILENT_SECONDS + new_way <= touch
-    assert waits.targets + SILENT_SECONDS + new_way + USED_SECONDS <= touch
-    assert waits.pause + USED_SECONDS <= leaving / 2.0
-    calls = 1.0 / waits.news + 1.0 / (waits.targets + waits.pause)
+    reconnect_seconds = RETRY_SECONDS * 1.5
+    assert waits.configuration + SILENCE_SECONDS + reconnect_seconds <= touch
+    assert (
+        waits.targets + SILENCE_SECONDS + reconnect_seconds + LEAVING_USE_SECONDS
+        <= touch
+    )
+    assert waits.pause + LEAVING_USE_SECONDS <= leaving / 2.0
+    calls = 1.0 / waits.configuration + 1.0 / (waits.targets + waits.pause)
     assert calls <= 1.25 * 3.0 / touch + 0.01
 
 
-LINK_BYTES = 1.25e6
+LINK_BYTES_PER_SECOND = 1.25e6
 """Bytes a second of a link of 10 Mbit/s."""
 CONFIGURATION_BYTES = 69_000
 """Of an answer of the store with a configuration, in a play of 69 hosts."""
 
 
-class Store:
+class StandInStore:
     """Has a new configuration every 0.08 s for two seconds."""
 
     def __init__(self, clock):
@@ -88,7 +98,7 @@
     """
 
     async def play(clock):
-        store, adopted = Store(clock), []
+        store, adopted = StandInStore(clock), []
         directory = SimpleNamespace(
             adopt=lambda stored, source: adopted.append(stored.version)
         )
@@ -96,9 +106,9 @@
             store, directory, random.Random(1), asyncio.Event(), choose_waits(4.0, 3.0)
         )
         while not adopted or adopted[-1] < 25:
-            await follower.look()
+            await follower.poll_once()
         rate = len(store.reads) * CONFIGURATION_BYTES / 2.0
-        assert rate <= 0.4 * LINK_BYTES
+        assert rate <= 0.4 * LINK_BYTES_PER_SECOND
         assert clock.monotonic() <= 2.0 + 0.5
         assert store.reads[0] <= 0.1
 
--- a/marigoldswitch/tests/test_large_configuration.py
+++ b/marigoldswitch/tests/test_large_configuration.py
@@ -25,15 +25,15 @@
 from marigoldswitch.core.ids import DataCentre, HostId
 from marigoldswitch.core.pacing import Pacer
 from marigoldswitch.gateway.directory import Directory
-from marigoldswitch.gateway.news import News
+from marigoldswitch.gateway.news import StateSync
 from marigoldswitch.tests.helpers import run_virtually
 
 HOME = DataCentre("a")
-TELLER = HostId("10.1.0.1:80")
+SOURCE_HOST = HostId("10.1.0.1:80")
 HOSTS = [HostId(f"10.1.0.{number}:80") for number in range(2, 30)]
-APPLY_SECONDS = 3.0
+IN_FORCE_SECONDS = 3.0
 """In which a configuration must be in force on the sites with such links."""
-READ_SECONDS = 0.5
+STORE_READ_SECONDS = 0.5
 """Of these for the way from the store to the first host of a data centre: a waiting
 read's answer takes 0.1 s, one that is tried again 0.5 s."""
 DIGEST_SECONDS = 0.2
@@ -61,36 +61,36 @@
 class Site:
     """One host that has the configuration and 28 that ask it, over its link."""
 
-    def __init__(self, clock, link):
-        self.clock, self.link = clock, link
-        self.free_at = 0.0
-        self.had = {}
+    def __init__(self, clock, link_rate):
+        self.clock, self.link_rate = clock, link_rate
+        self.link_free_at = 0.0
+        self.received_at = {}
         self.copies = Counter()
-        self.pacer = Pacer(link, clock)
-        self.news = {host: self._build(host) for host in (TELLER, *HOSTS)}
+        self.pacer = Pacer(link_rate, clock)
+        self.syncs = {host: self._build(host) for host in (SOURCE_HOST, *HOSTS)}
 
     def _build(self, host):
         network = SimpleNamespace(
             register=lambda kind, handler: None,
             send=lambda to, message: self._send(host, to, message),
         )
-        in_touch = SimpleNamespace(dependency=SimpleNamespace(is_lost=False))
+        feed = SimpleNamespace(dependency=SimpleNamespace(is_lost=False))
         parts = SimpleNamespace(
             clock=self.clock,
             network=network,
             directory=Directory(),
-            configuration=in_touch,
-            targets=in_touch,
+            configuration=feed,
+            targets=feed,
             feeds=SimpleNamespace(
-                decode_configuration=lambda data: self._note(host, data)
+                decode_configuration=lambda data: self._record_receipt(host, data)
             ),
         )
-        return News(parts, lambda: False, lambda: True)
+        return StateSync(parts, lambda: False, lambda: True)
 
-    def _note(self, host, data):
-        self.had.setdefault(host, self.clock.monotonic())
+    def _record_receipt(self, host, data):
+        self.received_at.setdefault(host, self.clock.monotonic())
         table = SimpleNamespace(version=7, routes=())
-        self.news[host]._parts.directory.stored = SimpleNamespace(table=table)
+        self.syncs[host]._parts.directory.stored = SimpleNamespace(table=table)
         return Err("noted")
 
     def _send(self, sender, to, message):
@@ -98,32 +98,36 @@
         match message:
             case FetchConfiguration():
                 loop.call_later(
-                    0.001, self.news[to]._tell_configuration, sender, message
+                    0.001, self.syncs[to]._send_configuration, sender, message
                 )
             case ConfigurationContent(content=content):
                 self.copies[to] += 1
                 delay = self.pacer.reserve(len(content))
-                loop.call_later(delay, self._leave, to, message)
+                loop.call_later(delay, self._transmit, to, message)
 
-    def _leave(self, to, message):
+    def _transmit(self, to, message):
         """Put a copy on the teller's link, behind what waits there."""
         now = self.clock.monotonic()
-        self.free_at = max(self.free_at, now) + len(message.content) / self.link
-        take = self.news[to]._take_configuration
+        self.link_free_at = (
+            max(self.link_free_at, now) + len(message.content) / self.link_rate
+        )
+        take = self.syncs[to]._handle_configuration
         loop = asyncio.get_running_loop()
-        loop.call_later(self.free_at - now, take, TELLER, message)
+        loop.call_later(self.link_free_at - now, take, SOURCE_HOST, message)
 
     def publish(self, content):
         table = SimpleNamespace(version=7, routes=())
         stored = SimpleNamespace(table=table, content=content)
-        self.news[TELLER]._parts.directory.stored = stored
+        self.syncs[SOURCE_HOST]._parts.directory.stored = stored
 
-    async def play(self, seconds):
+    async def send_digests(self, seconds):
         """Have the teller's digests come to all, again and again."""
         digest = LoadDigest(HOME, 7, 0)
         for _ in range(round(seconds / DIGEST_SECONDS)):
             for host in HOSTS:
-                self.news[host].ask(TELLER, digest, self.clock.monotonic())
+                self.syncs[host].request_missing(
+                    SOURCE_HOST, digest, self.clock.monotonic()
+                )
             await asyncio.sleep(DIGEST_SECONDS)
 
 
@@ -133,9 +137,9 @@
     async def play(clock):
         site = Site(clock, link)
         site.publish(build_content(routes))
-        await site.play(APPLY_SECONDS)
-        assert set(site.had) == set(HOSTS)
-        assert max(site.had.values()) <= APPLY_SECONDS - READ_SECONDS
+        await site.send_digests(IN_FORCE_SECONDS)
+        assert set(site.received_at) == set(HOSTS)
+        assert max(site.received_at.values()) <= IN_FORCE_SECONDS - STORE_READ_SECONDS
         if link == 2_500_000.0:
             assert set(site.copies.values()) == {1}
 
--- a/marigoldswitch/tests/test_spread.py
+++ b/marigoldswitch/tests/test_spread.py
@@ -18,7 +18,7 @@
 TARGET = TargetId("i-1")
 
 
-class Relay:
+class SimulatedHost:
     """The first of ten hosts of a data centre, with what it sends."""
 
     def __init__(self, own=HOSTS[0]):
@@ -31,7 +31,7 @@
             register=lambda kind, handler: None,
             send=lambda host, message: self.sent.append((host, message)),
         )
-        in_touch = SimpleNamespace(dependency=SimpleNamespace(is_lost=False))
+        feed = SimpleNamespace(dependency=SimpleNamespace(is_lost=False))
         self.directory = Directory()
         parts = SimpleNamespace(
             clock=clock,
@@ -40,50 +40,50 @@
             loads=self.loads,
             planner=SimpleNamespace(slowness={}),
             probes=SimpleNamespace(check_later=self.checked.append),
-            crashes=SimpleNamespace(checksum=0, tell_news=lambda: None),
+            crashes=SimpleNamespace(checksum=0, send_pending_notes=lambda: None),
             feeds=None,
-            configuration=in_touch,
-            targets=in_touch,
+            configuration=feed,
+            targets=feed,
             identity=SimpleNamespace(host=own, data_centre=HOME, strength=0),
             source=random.Random(1),
         )
         self.spread = Spread(parts)
 
-    def play(self, seconds):
+    def run_ticks(self, seconds):
         """Tick for a while, as loads come and go; return what was sent to whom."""
         self.sent = []
         for _ in range(round(seconds / 0.1)):
             self.now += 0.1
             for host in HOSTS[1:]:
-                self.spread._take_digest(host, LoadDigest(HOME, 0, 0))
+                self.spread._handle_digest(host, LoadDigest(HOME, 0, 0))
             self.loads.hold(TARGET, Usage(1, 10))
             self.spread.tick()
         return Counter((host, type(message)) for host, message in self.sent)
 
 
-def test_hosts_that_add_nothing_up_get_sums_and_few_digests():
-    relay = Relay()
-    relay.play(0.5)
-    sent = relay.play(2.0)
+def test_hosts_that_do_not_relay_get_summaries_and_few_digests():
+    relay = SimulatedHost()
+    relay.run_ticks(0.5)
+    sent = relay.run_ticks(2.0)
     assert sent[HOSTS[9], LoadDigest] <= 6
     assert 9 <= sent[HOSTS[9], LoadSummary] <= 11
     assert sent[HOSTS[1], LoadDigest] >= 9
 
 
-def test_sum_holds_what_the_relay_itself_holds_and_no_digest_to_others_does():
-    relay = Relay()
-    relay.play(1.0)
+def test_summary_includes_usage_of_relay_and_digests_to_others_carry_none():
+    relay = SimulatedHost()
+    relay.run_ticks(1.0)
     to_other = [message for host, message in relay.sent if host == HOSTS[9]]
-    sums = [item for item in to_other if isinstance(item, LoadSummary)]
-    assert sums[-1].usages[0].usages[0].requests >= 8
+    summaries = [item for item in to_other if isinstance(item, LoadSummary)]
+    assert summaries[-1].usages[0].usages[0].requests >= 8
     assert all(not item.usages for item in to_other if isinstance(item, LoadDigest))
 
 
-def test_news_goes_to_all_at_once():
-    relay = Relay()
-    relay.play(1.0)
+def test_new_revision_is_sent_to_all_hosts_at_once():
+    relay = SimulatedHost()
+    relay.run_ticks(1.0)
     relay.directory.registry.revision = 7
-    sent = relay.play(0.2)
+    sent = relay.run_ticks(0.2)
     assert all(sent[host, LoadDigest] >= 1 for host in HOSTS[1:])
 
 
@@ -95,10 +95,10 @@
     """
 
     def count_lists(hosts):
-        relay = Relay()
+        relay = SimulatedHost()
         for number in range(hosts):
             host = HostId(f"10.1.1.{number}:80")
-            relay.spread._take_digest(host, LoadDigest(HOME, 0, 0))
+            relay.spread._handle_digest(host, LoadDigest(HOME, 0, 0))
         lists = []
         list_ages = relay.spread.roster.list_ages
         monkeypatch.setattr(
@@ -111,34 +111,34 @@
     assert count_lists(40) == count_lists(10)
 
 
-def hear_of_dead_engines(host):
+def list_probed_engines(host):
     """Return which engines a host looks at when a relay says that they are dead."""
     for centre in (HOME, FAR):
         name = TargetId(f"engine-{centre}")
         target = Target(name, ServiceName("m"), centre, f"{centre}:1", 1, None, "card")
         host.directory.registry.put(TargetRow(target, False, 1), 0.0)
     for other in HOSTS[:9]:
-        host.spread._take_digest(other, LoadDigest(HOME, 0, 0))
+        host.spread._handle_digest(other, LoadDigest(HOME, 0, 0))
     digest = LoadDigest(HOME, 0, 0, dead=("engine-north", "engine-south"))
-    host.spread._take_digest(HOSTS[1], digest)
+    host.spread._handle_digest(HOSTS[1], digest)
     return {item.id for item in host.checked}
 
 
-def test_hosts_look_only_at_dead_engines_that_they_or_those_they_tell_use():
+def test_hosts_probe_only_dead_engines_that_they_or_their_recipients_use():
     """Each of 195 hosts looked at each dead engine of five data centres.
 
     Seven engines that died together cost 195 first looks each, 39 of them by hosts of
     their data centre: 3.9 probes a request on a day of releases and crashes.
     """
-    assert hear_of_dead_engines(Relay(HOSTS[9])) == {"engine-north"}
-    using = Relay(HOSTS[9])
+    assert list_probed_engines(SimulatedHost(HOSTS[9])) == {"engine-north"}
+    using = SimulatedHost(HOSTS[9])
     using.loads.hold(TargetId("engine-south"), Usage(1, 10))
-    assert hear_of_dead_engines(using) == {"engine-north", "engine-south"}
-    relay = Relay(HostId("10.1.0.0:80"))
-    assert hear_of_dead_engines(relay) == {"engine-north", "engine-south"}
+    assert list_probed_engines(using) == {"engine-north", "engine-south"}
+    relay = SimulatedHost(HostId("10.1.0.0:80"))
+    assert list_probed_engines(relay) == {"engine-north", "engine-south"}
 
 
-def test_host_that_orders_the_engines_looks_at_all_dead_ones():
-    orderer = Relay(HOSTS[9])
+def test_host_that_orders_the_engines_probes_all_dead_ones():
+    orderer = SimulatedHost(HOSTS[9])
     orderer.spread.lease = SimpleNamespace(holds=True, show_row=lambda: None)
-    assert hear_of_dead_engines(orderer) == {"engine-north", "engine-south"}
+    assert list_probed_engines(orderer) == {"engine-north", "engine-south"}
