--- a/marigoldswitch/gateway/crash_news.py
+++ b/marigoldswitch/gateway/crash_news.py
@@ -1,4 +1,4 @@
-"""Tells the other hosts which requests end targets, and takes what they know."""
+"""Exchange of notes between hosts on the requests that crash targets."""
 
 from collections.abc import Callable
 
@@ -10,14 +10,14 @@
 from marigoldswitch.peers import PeerNetwork
 
 NOTES_SECONDS = 0.3
-"""Seconds between two messages of requests that are suspected of ending targets."""
+"""Interval of messages on requests that are suspected of crashing targets."""
 RESYNC_SECONDS = 1.5
-"""Least time between two messages to a host that knows something else of requests that
-end targets: it was cut off, or has just started."""
+"""Minimum time between two full lists of notes to a host whose notes differ: it was
+cut off, or has just started."""
 
 
 class CrashNoteExchange:
-    """Sends what is new along the ways of digests, and the whole to who lacks it."""
+    """Sends new notes along with digests, and all notes to hosts whose notes differ."""
 
     def __init__(
         self, clock: Clock, network: PeerNetwork, crashes: CrashWatch, roster: Roster
@@ -28,13 +28,13 @@
         self._roster = roster
         self._sent_at = float("-inf")
         self._resynced_at: dict[HostId, float] = {}
-        """When each host that knew something else was last told."""
+        """When each host with different notes was last sent all notes."""
         handle_notes: Callable[..., None] = self._handle_notes
         network.register(CrashNotes, handle_notes)
         crashes.send_notes = self._broadcast
 
     def tick(self) -> None:
-        """Tell what was learnt since the last time, if that is due."""
+        """Send the notes that are new since the last time, if that is due."""
         now = self._clock.monotonic()
         if self._resynced_at:
             self._resynced_at = {
@@ -47,7 +47,7 @@
             self._crashes.send_pending_notes()
 
     def resync_if_different(self, sender: HostId, checksum: int) -> None:
-        """Tell a host what this one knows if it knows something else."""
+        """Send a host all notes if its checksum differs from this host's."""
         if checksum == self._crashes.checksum or not self._crashes.checksum:
             return
         now = self._clock.monotonic()
@@ -57,7 +57,7 @@
         self._network.send(sender, CrashNotes(self._crashes.list_notes()))
 
     def _broadcast(self, notes: tuple[CrashNote, ...]) -> None:
-        """Tell others, each of whom tells on what is new to it."""
+        """Send notes to other hosts, each of which forwards what is new to it."""
         for host in (
             *self._roster.choose_local_recipients(),
             *self._roster.choose_remote_recipients(),
--- a/marigoldswitch/gateway/crashes.py
+++ b/marigoldswitch/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""Finds out which requests end the targets that run them, and holds these off."""
+"""Detects the requests that crash the targets running them, and puts them on hold."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,23 +17,26 @@
 logger = structlog.get_logger(__name__)
 
 VERDICT_SECONDS = 0.06
-"""Longest time that a request waits until the end of its target is confirmed; a closed
-port says so within a few milliseconds."""
+"""Maximum time that a request waits for the verdict on its target's end; a closed port
+shows it within a few milliseconds."""
 SETTLE_SECONDS = 0.005
-"""Time in which all requests that a target has cut off are heard of."""
+"""Time after the end of a target in which all interrupted requests report it."""
 MAX_LOGGED_FINGERPRINTS = 8
-"""Fingerprints in a log line."""
+"""Maximum number of fingerprints in a log line."""
 LATE_REPORT_SECONDS = 1.0
-"""Time after an end in which further requests may be found to have been cut off."""
+"""Time from the first report in which further requests may report that the target
+interrupted them."""
 
 
 @dataclass(slots=True)
 class _Interruption:
-    """The requests of this host that one target has cut off."""
+    """The requests of this host that one target has broken off.
+
+    :ivar verdict: finds out whether the target has ended.
+    """
 
     requests: list[CutRequest] = field(default_factory=list)
     verdict: asyncio.Task[bool] | None = None
-    """Whether the target has ended."""
 
     @property
     def is_confirmed(self) -> bool:
@@ -51,9 +54,9 @@
 
 
 class CrashWatch:
-    """What this host knows of requests that end targets.
+    """Records the ends of targets and the requests that they ran.
 
-    :ivar send_notes: called with what other hosts must be told at once.
+    :ivar send_notes: sends notes to other hosts.
     """
 
     def __init__(
@@ -68,22 +71,23 @@
 
     @property
     def checksum(self) -> int:
-        """Return a number that tells whether another host knows the same."""
+        """Return a checksum of the notes, equal on hosts that have the same ones."""
         return self._ledger.checksum
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing is known of any request."""
+        """Tell whether there is no record of any request."""
         return not len(self._ledger)
 
     def find_hold(self, fingerprint: Fingerprint) -> Hold | None:
-        """Return why a request must not run now, or ``None`` if it may."""
+        """Return the hold on a request, or ``None`` if it may run."""
         return self._ledger.find_hold(fingerprint, self._clock.monotonic())
 
     async def note_cut_off(self, request: CutRequest, target: Target) -> None:
-        """Learn that a target broke a request off, perhaps by its end.
+        """Record that a target broke a request off, perhaps because it ended.
 
-        Returns when that is judged, where the request may be what ended the target.
+        If the request may be the cause, this waits for the verdict on the target, for
+        at most ``VERDICT_SECONDS``.
         """
         row = self._directory.registry.rows.get(target.id)
         if row is None or row.leaving:
@@ -101,7 +105,7 @@
             await asyncio.wait({interruption.verdict}, timeout=VERDICT_SECONDS)
 
     def _get_interruption(self, start: TargetStart) -> _Interruption:
-        """Return what a target has cut off lately; anew if it was found alive since."""
+        """Return a target's current interruption, a new one if it was found alive."""
         interruption = self._interruptions.get(start)
         if interruption is None or interruption.is_refuted:
             interruption = self._interruptions[start] = _Interruption()
@@ -118,30 +122,30 @@
             del self._interruptions[start]
 
     def note_served(self, fingerprint: Fingerprint) -> None:
-        """Learn that a request has run to its end."""
+        """Record that a request has run to completion, which clears it of suspicion."""
         if self._ledger.note_served(fingerprint, self._clock.monotonic()):
             logger.info("suspicion_cleared", fingerprint=fingerprint)
 
     def list_notes(self) -> tuple[CrashNote, ...]:
-        """Return what a host that knows nothing must be told."""
+        """Return all notes that a host without any must get."""
         return self._ledger.list_notes(self._clock.monotonic())
 
     def merge_notes(self, notes: tuple[CrashNote, ...]) -> None:
-        """Take what another host knows, and tell others what of it is new."""
+        """Merge notes of another host, and forward new holds at once."""
         self._ledger.merge(notes, self._clock.monotonic())
         self._send_if_urgent()
 
     def send_pending_notes(self) -> None:
-        """Tell other hosts what was learnt since the last time, if anything."""
+        """Send other hosts the notes that are new since the last time, if any."""
         notes = self._ledger.take_news(self._clock.monotonic())
         if notes:
             self.send_notes(notes)
 
     def _send_if_urgent(self) -> None:
-        """Tell at once of a request that is held off.
+        """Send pending notes at once if a request was put on hold.
 
-        What is merely suspected waits and goes together: a rack that ends leaves
-        hundreds of suspects.
+        Notes on mere suspects wait and go together, as the loss of a rack leaves
+        hundreds of them.
         """
         if self._ledger.has_urgent_news:
             self.send_pending_notes()
@@ -149,9 +153,9 @@
     async def _confirm_end(
         self, start: TargetStart, target: Target, interruption: _Interruption
     ) -> bool:
-        """Tell whether a target has ended; if so, learn who was there.
+        """Tell whether a target has ended; if so, record the requests that it ran.
 
-        A reset connection, a cut link or a slow target is no end.
+        A reset connection, a cut link or a slow target is not an end.
         """
         if not await self._probes.has_ended(target, start.born):
             return False
--- a/marigoldswitch/gateway/directory.py
+++ b/marigoldswitch/gateway/directory.py
@@ -1,4 +1,4 @@
-"""What this host knows of the platform's state: configuration and targets."""
+"""This host's copy of the platform's state: the configuration and the targets."""
 
 from collections.abc import Callable
 
@@ -16,14 +16,18 @@
 
 
 class Directory:
-    """The newest configuration and the targets; adopts upward only."""
+    """Holds the newest configuration and the targets.
+
+    A configuration is replaced only by one of a higher version.
+
+    :ivar has_targets: a complete list of targets was received.
+    """
 
     def __init__(self) -> None:
         self.registry = TargetRegistry()
         self.suspects = Suspects()
         self.stored: StoredConfiguration | None = None
         self.has_targets = False
-        """A whole list of targets has been seen."""
         self._listeners: list[Callable[[RoutingTable], None]] = []
         self.registry.watch(self._note_change)
         self.registry.watch_eras(self._note_restored)
@@ -41,7 +45,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether callers can be served."""
+        """Tell whether this host has what it needs to serve callers."""
         return self.stored is not None and self.has_targets
 
     def watch(self, listener: Callable[[RoutingTable], None]) -> None:
@@ -49,9 +53,10 @@
         self._listeners.append(listener)
 
     def adopt(self, stored: StoredConfiguration, source: str) -> bool:
-        """Put a configuration in force if it is newer; tell whether it was.
+        """Put a configuration in force if it is newer.
 
-        :param source: who told of it, for the log.
+        :param source: where it came from, for the log.
+        :return: whether it was newer.
         """
         known = self.version
         if stored.table.version <= known:
--- a/marigoldswitch/gateway/followers.py
+++ b/marigoldswitch/gateway/followers.py
@@ -1,4 +1,4 @@
-"""Follows the platform's feeds of the configuration and the targets."""
+"""Long polling of the store's feeds of the configuration and the targets."""
 
 import asyncio
 import random
@@ -15,25 +15,25 @@
 logger = structlog.get_logger(__name__)
 
 CONFIGURATION_WAIT_SHARE = 0.65
-"""Share of the time within which a host must be up to date again after trouble that a
-read waits for news. A connection that has gone silent is noticed half a second later,
-and connecting anew must fit in as well. Each read is paid for: where news may be older,
-there are fewer of them."""
+"""Time that a read waits for a configuration, as a share of the time within which a
+host must have it in force. A silent connection is noticed half a second after the wait,
+and a reconnection must fit in too. Reads are paid for, so they wait as long as allowed.
+"""
 TARGETS_WAIT_SHARE = 0.4
-"""The same for the targets. Shorter, as a leaving engine is used for up to 0.8 s after
-it was seen to leave, which together must end before a host must be up to date."""
+"""The same for the targets. It is shorter because a leaving engine stays in use for up
+to 0.8 s after it was seen to leave, which must fit in as well."""
 READ_PAUSE_SHARE = 0.075
-"""Share of the time after which a leaving target must get no more work that a reader
-pauses between two reads of the targets: changes that come in series, as at a start, are
-then read together."""
+"""Pause between two reads of the targets, as a share of the time after which a leaving
+target must get no more work. Changes that come in series, as at a start, are then read
+together."""
 
 
 RETRY_SECONDS = 0.25
-"""Pause after a read that failed; up to half as much is added at random, so that hosts
-don't return to a recovering store at the same moment."""
+"""Pause after a failed read, in seconds. Up to half as much is added at random, so that
+hosts don't all return to a recovering store at once."""
 OUTAGE_RETRY_SECONDS = 0.6
-"""Pause once three reads in a row have failed: calls are paid for and limited, also
-refused ones."""
+"""The same once ``FAILURES_IN_OUTAGE`` reads in a row have failed. It is longer because
+refused calls, too, are paid for and limited."""
 FAILURES_IN_OUTAGE = 3
 
 
@@ -53,7 +53,11 @@
 
 
 def choose_waits(touch_seconds: float, leaving_seconds: float) -> Waits:
-    """Return the waits that the bounds of a deployment allow; see its settings."""
+    """Return the longest waits that the bounds of a deployment allow.
+
+    :param touch_seconds: within which a host must have a change of the store in force.
+    :param leaving_seconds: after which a leaving target must get no more work.
+    """
     return Waits(
         CONFIGURATION_WAIT_SHARE * touch_seconds,
         TARGETS_WAIT_SHARE * touch_seconds,
@@ -62,7 +66,11 @@
 
 
 class Dependency:
-    """Whether the store answers one kind of read; logs when that changes."""
+    """Tracks whether the store answers one kind of read, and logs when that changes.
+
+    :param name: of the kind of read, for the log.
+    :ivar failures: number of failed reads since the last that was answered.
+    """
 
     def __init__(self, name: str) -> None:
         self.failures = 0
@@ -74,21 +82,26 @@
         return self.failures > 0
 
     def note_success(self) -> None:
-        """Learn that a read was answered."""
+        """Record that a read was answered."""
         if self.failures:
             logger.info("dependency_back", what=self._name, failures=self.failures)
         self.failures = 0
 
     def note_failure(self, why: str) -> None:
-        """Learn that a read failed."""
+        """Record that a read failed.
+
+        :param why: the fault, for the log.
+        """
         if self.failures == 0:
             logger.warning("dependency_lost", what=self._name, why=why)
         self.failures += 1
 
     def choose_pause(self, source: random.Random, backoff_factor: float = 1.0) -> float:
-        """Return the seconds until the next try.
+        """Return the seconds until the next read.
 
-        :param backoff_factor: factor for hosts that are not the first to read.
+        :param source: of the random part.
+        :param backoff_factor: by which a host waits longer that is not among the first
+            readers.
         """
         is_outage = self.failures >= FAILURES_IN_OUTAGE
         pause = OUTAGE_RETRY_SECONDS if is_outage else RETRY_SECONDS
@@ -98,8 +111,8 @@
 class ConfigurationFollower:
     """Puts each new configuration of the store in force.
 
-    :param reading: set while this host must read by itself.
-    :ivar get_patience: how much longer than others it waits in an outage.
+    :param reading: set while this host must read the store itself.
+    :ivar get_patience: returns the factor by which this host waits longer in an outage.
     :ivar waits: how long its reads wait.
     """
 
@@ -127,7 +140,7 @@
             await self.poll_once()
 
     async def poll_once(self) -> None:
-        """Wait for one piece of news."""
+        """Wait for a newer configuration once, and put it in force."""
         read = await self._feeds.wait_configuration(
             self._revision, self.waits.configuration
         )
@@ -137,8 +150,8 @@
                 self._revision = max(revision, self._revision)
                 if stored is not None:
                     self._directory.adopt(stored, "store")
-                    # Each read brings the whole configuration. One a change, a series
-                    # of changes fills the link of a small host for seconds.
+                    # Each read returns the whole configuration. Without a pause, a
+                    # series of changes would fill a small host's link for seconds.
                     await asyncio.sleep(self.waits.pause)
             case Err(FeedFault.HISTORY_GONE):
                 logger.info("history_gone", what="configuration feed")
@@ -154,8 +167,8 @@
 class TargetFollower:
     """Keeps the registry of targets up to date with the store.
 
-    :param reading: set while this host must read by itself.
-    :ivar get_patience: how much longer than others it waits in an outage.
+    :param reading: set while this host must read the store itself.
+    :ivar get_patience: returns the factor by which this host waits longer in an outage.
     :ivar waits: how long its reads wait.
     """
 
@@ -187,7 +200,7 @@
             await asyncio.sleep(self._choose_pause())
 
     async def poll_once(self) -> None:
-        """Read once what has changed."""
+        """Wait for changes of the targets once, and apply them."""
         read = await self._feeds.wait_targets(self._revision, self.waits.targets)
         now = self._clock.monotonic()
         registry = self._directory.registry
@@ -218,7 +231,10 @@
 
 
 def apply_changes(directory: Directory, changes: TargetChanges, now: float) -> None:
-    """Take rows of targets into the registry."""
+    """Apply changes from the store to the registry of targets.
+
+    :param now: monotonic time in seconds.
+    """
     registry = directory.registry
     if changes.is_whole:
         registry.replace_all(changes.rows, changes.revision, now)
@@ -229,5 +245,5 @@
     for name in changes.removed:
         registry.remove(name, now)
     if changes.rows or changes.removed:
-        # Not for changes elsewhere in the store, which would make peers fetch.
+        # Changes elsewhere in the store don't count, as peers would fetch for nothing.
         registry.revision = max(registry.revision, changes.revision)
--- a/marigoldswitch/gateway/news.py
+++ b/marigoldswitch/gateway/news.py
@@ -1,8 +1,7 @@
-"""The configuration and the targets, passed between hosts.
+"""Transfer of the configuration and the targets between hosts.
 
-A host that the store turns away, or that leaves reading to others, takes them from a
-host that has read them. A version or a revision that is higher is newer, whoever tells
-of it.
+A host that does not read the store, or that the store refuses, fetches them from a peer
+that has them. The higher version or revision is the newer one, whoever sends it.
 """
 
 import random
@@ -38,26 +37,27 @@
 logger = structlog.get_logger(__name__)
 
 COMPRESSION_LEVEL = 1
-"""Effort of packing a configuration, the least: it makes large ones a tenth as large.
-Unpacked, one of 1,400 routes would take longer from a relay on 10 Mbit/s to the hosts
-of its data centre than the 3 s in which it must be in force."""
+"""zlib level for configurations, the cheapest; it makes large ones ten times smaller.
+Uncompressed, a configuration of 1,400 routes would take a relay on 10 Mbit/s more than
+the 3 s in which the hosts of its data centre must have it in force."""
 MAX_CONFIGURATION_BYTES = 64 * 1024 * 1024
-"""Largest configuration that is taken from a peer, a thousand times a usual one."""
-TARGETS_FETCH_SECONDS = 0.4
-"""Least time between two requests for targets; also how long news may be missed by the
-store's own feed before it is asked for."""
+"""Largest decompressed configuration accepted from a peer, a thousand times the usual
+size."""
+FETCH_SECONDS = 0.4
+"""Minimum time between two requests for targets. Also how long a host that reads the
+store waits for its own feed to catch up before it asks a peer."""
 CONFIGURATION_FETCH_SECONDS = 0.8
-"""Least time between two requests for a configuration. A relay's copies for a whole
-data centre leave it within half of that or so; asked for again meanwhile, each is sent
-several times, and the last ones come late."""
+"""Minimum time between two requests for a configuration. A relay sends its copies to a
+whole data centre in about half of it; earlier requests would have each copy sent
+several times, and the last ones arrive late."""
 STORE_AWAY_SECONDS = 0.8
-"""Time without a word of a host that is in touch with the store after which the store
-counts as away; such hosts speak every 0.1 to 0.5 s."""
+"""Time without a digest from a current host after which the store counts as away; such
+hosts send every 0.1 to 0.5 s."""
 
 
 @dataclass(slots=True)
 class SpreadParts:
-    """What the spread reads and feeds."""
+    """The collaborators of the digest exchange."""
 
     clock: Clock
     network: PeerNetwork
@@ -75,9 +75,9 @@
 
 @dataclass(slots=True)
 class _Lag:
-    """How far this host is behind in one kind of news.
+    """When this host fell behind in one kind of state, and when it last asked for it.
 
-    :ivar min_interval: least time between two requests, in seconds.
+    :ivar min_interval: minimum time between two requests, in seconds.
     """
 
     min_interval: float
@@ -85,13 +85,17 @@
     requested_at: float = field(default=float("-inf"))
 
     def should_request(self, behind: bool, cut_off: bool, now: float) -> bool:
-        """Tell whether to ask a peer now."""
+        """Tell whether to ask a peer now; if so, record the request.
+
+        :param behind: the peer has newer state.
+        :param cut_off: this host can't get it from the store itself.
+        """
         if not behind:
             self.behind_since = None
             return False
         if self.behind_since is None:
             self.behind_since = now
-        waited = cut_off or now - self.behind_since >= TARGETS_FETCH_SECONDS
+        waited = cut_off or now - self.behind_since >= FETCH_SECONDS
         if not waited or now - self.requested_at < self.min_interval:
             return False
         self.requested_at = now
@@ -99,11 +103,11 @@
 
 
 class StateSync:
-    """Asks for what this host lacks and tells what it has.
+    """Requests newer configurations and targets from peers, and answers their requests.
 
-    :param must_read: whether this host must follow the store by itself.
-    :param is_current: whether it does and the store answers, or it has lately heard of
-        a host of which that is true, and knows no less.
+    :param must_read: whether this host must read the store itself.
+    :param is_current: whether this host reads the store and gets answers, or knows no
+        less than a host that does and was heard recently.
     """
 
     def __init__(
@@ -116,11 +120,11 @@
         self._must_read = must_read
         self._is_current = is_current
         self._configuration = _Lag(CONFIGURATION_FETCH_SECONDS)
-        self._targets = _Lag(TARGETS_FETCH_SECONDS)
+        self._targets = _Lag(FETCH_SECONDS)
         self._current_heard_at: float | None = None
-        """When a host in touch was last heard, or the first host at all."""
+        """When a current host, or the first host at all, was last heard."""
         self._compressed: ConfigurationContent | None = None
-        """The newest configuration that was asked for, as it goes to each who asks."""
+        """The newest configuration that was requested, ready to send."""
         handlers: dict[type[GatewayMessage], Callable[..., None]] = {
             FetchConfiguration: self._send_configuration,
             ConfigurationContent: self._handle_configuration,
@@ -131,7 +135,7 @@
             parts.network.register(kind, handler)
 
     def request_missing(self, sender: HostId, digest: LoadDigest, now: float) -> None:
-        """Ask a peer for what it has and this host lacks."""
+        """Request the state that a peer's digest shows to be newer than this host's."""
         parts = self._parts
         version, registry = parts.directory.version, parts.directory.registry
         idle = not self._must_read()
@@ -146,8 +150,8 @@
                 known=version,
             )
         targets_lost = parts.targets.dependency.is_lost or idle
-        # Only a host that is in touch tells of targets. One that isn't, asked first in
-        # each round, kept a host behind for 10 s.
+        # Only current hosts answer with targets. A host that sent its request to
+        # another one first, in each round, stayed behind for 10 s.
         accepts_any = self._accepts_any_sender(digest, now)
         is_trusted = digest.current or accepts_any
         behind = is_trusted and digest.revision > registry.revision
@@ -155,15 +159,16 @@
             parts.network.send(sender, FetchTargets(registry.revision))
 
     def _accepts_any_sender(self, digest: LoadDigest, now: float) -> bool:
-        """Tell whether targets may be taken from a host that is not in touch.
+        """Tell whether targets may be fetched from a host that is not current.
 
-        Only by one that knows none and hears nobody in touch: hosts that started in an
-        outage of the store refused all callers for as long as it lasted, 5 s.
+        This holds only while this host has no targets and hears no current host.
+        Otherwise hosts that start in an outage of the store refuse all callers until it
+        is over, 5 s in one case.
         """
         if digest.current or self._current_heard_at is None:
             self._current_heard_at = now
-        alone = now - self._current_heard_at >= STORE_AWAY_SECONDS
-        return alone and not self._parts.directory.has_targets
+        is_alone = now - self._current_heard_at >= STORE_AWAY_SECONDS
+        return is_alone and not self._parts.directory.has_targets
 
     def _send_configuration(self, sender: HostId, request: FetchConfiguration) -> None:
         stored = self._parts.directory.stored
@@ -199,8 +204,11 @@
                 logger.warning("configuration_refused", sender=sender, why=why)
 
     def _send_targets(self, sender: HostId, request: FetchTargets) -> None:
-        """Tell what has changed: all rows for each change of one, to a whole data
-        centre, would fill a tenth of a small host's link."""
+        """Send the rows that have changed, and the names of all targets.
+
+        All rows for each change, to a whole data centre, would fill a tenth of the link
+        of a small host.
+        """
         directory = self._parts.directory
         registry = directory.registry
         may_send = self._is_current() or (
@@ -233,21 +241,21 @@
         ]
         registry.replace_all(rows, message.revision, now, settled=True)
         for name in message.lapsed:
-            # Its end brings no newer revision by which this host would hear of it.
+            # Dropping it later raises no revision, so no peer would report that.
             registry.lapse(name, now)
         parts.directory.has_targets = True
         logger.info("targets_taken", sender=sender, revision=message.revision)
 
 
 def _decompress(compressed: bytes) -> bytes:
-    """Return a configuration's bytes.
+    """Return the decompressed bytes of a configuration.
 
-    :raises ValueError: if they are cut off or too many.
+    :raises ValueError: if the data is truncated or too large.
     """
     decompressor = zlib.decompressobj()
     content = decompressor.decompress(compressed, MAX_CONFIGURATION_BYTES)
     if not decompressor.eof:
-        raise ValueError("cut off or too large")
+        raise ValueError("compressed data is truncated or too large")
     return content
 
 
--- a/marigoldswitch/gateway/roster.py
+++ b/marigoldswitch/gateway/roster.py
@@ -1,4 +1,9 @@
-"""The hosts that this one has heard of, and its own part among them."""
+"""The other hosts as this one knows them, and its own role among them.
+
+The hosts of a small data centre form a full mesh. In a larger one the live hosts with
+the lowest ranks are relays; the first of these, the lead, sends summaries of all loads,
+and the others stand by.
+"""
 
 import random
 from collections import Counter
@@ -19,35 +24,41 @@
 from marigoldswitch.gateway.ports import HostRecord
 
 SILENT_SECONDS = 3.0
-"""A host that was not heard for this long gets only every tenth digest."""
+"""Time after which a host that was not heard counts as silent. It then gets only the
+broadcast digests, every tenth one."""
 FORGET_SECONDS = 120.0
-"""A host of which nobody has told for this long is forgotten; it announces itself if it
-lives."""
+"""Time after which a host that nobody has mentioned is forgotten. A live host announces
+itself."""
 SUMMARY_VALID_SECONDS = 2.0
-"""Time for which a relay's count of hosts stands: several of its summaries."""
+"""Time for which the host counts of a relay's summary are used: several summary
+intervals."""
 HOST_LIST_WAIT_SECONDS = 0.4
-"""Time after its start in which a host waits for the list of the others, which may read
-the store for it; otherwise a start of all reads every table once a host."""
+"""Time after its start for which a host waits for the list of hosts before it reads the
+store. Otherwise, when all hosts start, each reads every table."""
 RELAYS_PER_HOST = 2
-"""Relays that a host tells of its loads: the one that sums up and the next, which is
-then ready to."""
+"""Relays to which a host sends its loads: the lead and the next one, which is then
+ready to take over."""
 REMOTE_RELAY_CANDIDATES = 6
-"""Hosts of another data centre among which its relay is sought while none was heard:
-its first three, and as many that may have taken their places."""
+"""Hosts of another data centre that are tried as its relays while none was heard: the
+first three, and as many that may have replaced them."""
 REMOTE_PEERS = 2
-"""Hosts of other data centres that a digest goes to where each host tells each other,
-drawn anew each time: news reaches all of them in some ten rounds."""
+"""Hosts of other data centres that get a digest from a host of a full mesh, drawn anew
+each time. A change reaches all of them in about ten rounds."""
 
 
 @dataclass(slots=True)
 class PeerState:
-    """What is known of another host.
+    """State of another host.
 
-    :ivar heard_at: when it was last heard.
-    :ivar mentioned_at: when anybody last told of it.
-    :ivar reading_at: when it was last said to read the store; ``None`` if it does not.
     :ivar rank: its place among the hosts of its data centre, the lowest first; built
-        when it is heard, as it is asked for several times in each tick.
+        when it is heard, as each tick needs it several times.
+    :ivar heard_at: when it last sent a digest, or was added from a list.
+    :ivar mentioned_at: when it or another source last named it.
+    :ivar leaving: it is shutting down.
+    :ivar revision: up to which it knows the targets.
+    :ivar is_reader: it has said that it reads the store.
+    :ivar reading_at: when it or a peer last reported that it reads the store; ``None``
+        if it does not.
     """
 
     data_centre: DataCentre
@@ -61,7 +72,14 @@
 
 
 class Roster:
-    """The other hosts."""
+    """Table of the other hosts.
+
+    :param own: this host.
+    :param home: its data centre.
+    :param source: of random choices.
+    :param strength: of its link; hosts with the strongest links rank first.
+    :ivar is_listed: the store has listed the other hosts.
+    """
 
     def __init__(
         self,
@@ -80,14 +98,13 @@
         self._turn = ReaderTurn()
         self._started_at = clock.monotonic()
         self.is_listed = False
-        """The store has told of the other hosts."""
         self._summaries: dict[DataCentre, tuple[float, LoadSummary]] = {}
-        """What the relays of the data centres have counted, and when that was heard."""
+        """The last summary from each data centre, and when it was received."""
 
-    # What is learnt.
+    # Updates.
 
     def meet(self, record: HostRecord) -> None:
-        """Learn of a host from the store or the settings."""
+        """Add a host that the store or the settings name."""
         host = HostId(record.address)
         now = self._clock.monotonic()
         if host != self._own and host not in self.peers:
@@ -96,7 +113,10 @@
             self.peers[host] = PeerState(centre, rank, now, now)
 
     def hear(self, host: HostId, digest: LoadDigest) -> bool:
-        """Take what a host says of itself and its peers; tell whether it is new."""
+        """Store what a digest says of its sender and of readers.
+
+        :return: whether the sender is new.
+        """
         now = self._clock.monotonic()
         known = self.peers.get(host)
         reading_at = now if digest.reads else None
@@ -117,7 +137,7 @@
         return known is None
 
     def update_from_summary(self, sender: HostId, summary: LoadSummary) -> None:
-        """Take a relay's word on which hosts there are."""
+        """Store the host counts, and the list of hosts if any, of a relay's summary."""
         peer = self.peers.get(sender)
         if peer is None:
             return
@@ -130,7 +150,7 @@
                 continue
             known = self.peers.get(name)
             if known is None:
-                # Known from hearsay only: it counts as heard when it speaks.
+                # Counts as silent until it sends a message itself.
                 past = now - SILENT_SECONDS
                 rank = HostRank(0, name)
                 self.peers[name] = PeerState(self._home, rank, past, now)
@@ -138,30 +158,30 @@
                 known.mentioned_at = now
 
     def expire(self) -> None:
-        """Drop the hosts that nobody has told of for long."""
+        """Drop the hosts that nobody has mentioned for ``FORGET_SECONDS``."""
         now = self._clock.monotonic()
         for host, item in list(self.peers.items()):
             if now - max(item.heard_at, item.mentioned_at) > FORGET_SECONDS:
                 del self.peers[host]
 
-    # Who is there.
+    # Lists and counts of hosts.
 
     def list_local(self, seconds: float = SILENT_SECONDS) -> list[HostId]:
-        """Return the hosts of this data centre that were heard so lately."""
+        """Return the hosts of this data centre that were heard in the last seconds."""
         return self._list_heard(seconds, local=True)
 
     def count_near(self) -> int:
-        """Return the live hosts of this data centre, this one among them."""
+        """Return the number of live hosts of this data centre, this one included."""
         summary = None if self.is_lead else self._get_summary(self._home)
         return summary.near if summary else 1 + len(self.list_local())
 
     def count_live(self) -> int:
-        """Return the live hosts, this one among them."""
+        """Return the number of live hosts of all data centres, this one included."""
         summary = None if self.is_lead else self._get_summary(self._home)
         return summary.live if summary else self.count_near() + self._count_remote()
 
     def _count_remote(self) -> int:
-        """Return the live hosts of the other data centres."""
+        """Return the number of live hosts of the other data centres."""
         heard = Counter(
             self.peers[host].data_centre
             for host in self._list_heard(SILENT_SECONDS, local=False)
@@ -173,7 +193,7 @@
         return sum(heard.values())
 
     def _get_summary(self, centre: DataCentre) -> LoadSummary | None:
-        """Return the newest count of a data centre's relay, if it still stands."""
+        """Return the last summary from a data centre, if it is recent."""
         at, summary = self._summaries.get(centre, (float("-inf"), None))
         fresh = self._clock.monotonic() - at < SUMMARY_VALID_SECONDS
         return summary if fresh else None
@@ -188,7 +208,10 @@
         ]
 
     def list_ages(self) -> dict[HostId, float]:
-        """Return the seconds since each host of this data centre was heard."""
+        """Return the seconds since each host of this data centre was last heard.
+
+        Hosts that are shutting down are left out.
+        """
         now = self._clock.monotonic()
         return {
             host: now - item.heard_at
@@ -197,37 +220,37 @@
         }
 
     def _rank_ages(self) -> dict[HostRank, float]:
-        """Return how long ago each host here was heard, in seconds, by its rank."""
+        """Return the ages of ``list_ages`` by the ranks of the hosts."""
         return {self._rank(host): age for host, age in self.list_ages().items()}
 
     def _rank(self, host: HostId) -> HostRank:
         return self.peers[host].rank
 
-    # This host's part.
+    # This host's role.
 
     @property
-    def is_full_mesh(self) -> bool:
-        """Tell whether the hosts of this data centre all tell each other."""
+    def is_mesh(self) -> bool:
+        """Tell whether the hosts of this data centre form a full mesh."""
         return len(self.list_ages()) < MESH_HOSTS
 
     @property
     def relays(self) -> list[HostId]:
-        """Return the hosts that relay, this one perhaps among them."""
+        """Return the relays of this data centre, the lead first."""
         ranks = choose_relays(self._own_rank, self._rank_ages())
         return [item.host for item in ranks]
 
     @property
     def is_relay(self) -> bool:
-        """Tell whether this host relays, or stands ready to."""
+        """Tell whether this host is a relay, active or standby."""
         return self._own in self.relays
 
     @property
     def is_lead(self) -> bool:
-        """Tell whether this host sums up for the others."""
+        """Tell whether this host is the lead relay, which sends the summaries."""
         return is_lead(self._own_rank, self._rank_ages())
 
     def must_read(self) -> bool:
-        """Tell whether this host must follow the store by itself."""
+        """Tell whether this host must read the store itself."""
         now = self._clock.monotonic()
         if not self.is_listed and now - self._started_at < HOST_LIST_WAIT_SECONDS:
             return False
@@ -240,11 +263,14 @@
         return self._turn.must_read(self._own_rank, ranks, readers, now)
 
     def choose_patience(self) -> float:
-        """Return how much longer than others this host waits in an outage."""
+        """Return the factor by which this host waits longer in an outage of the store.
+
+        It is 1 for the first hosts of the data centre.
+        """
         return choose_patience(self._own_rank, self._rank_ages())
 
-    def is_level_with_reader(self, revision: int) -> bool:
-        """Tell whether a host was heard that reads, and knows no more than this one.
+    def matches_reader(self, revision: int) -> bool:
+        """Tell whether a live reader of the store knows no more than this host.
 
         :param revision: up to which this host knows the targets.
         """
@@ -257,12 +283,12 @@
         )
 
     def hears_reader(self) -> bool:
-        """Tell whether a host was heard lately that the store answers."""
+        """Tell whether any host is known to have read the store recently."""
         now = self._clock.monotonic()
         return any(_is_reading(item, now) for item in self.peers.values())
 
     def list_readers(self) -> tuple[HostId, ...]:
-        """Return the hosts of this data centre that have said that they read."""
+        """Return the hosts of this data centre that say that they read the store."""
         return tuple(
             sorted(
                 host
@@ -271,19 +297,19 @@
             )
         )
 
-    # Whom to tell.
+    # Recipients of digests.
 
     def choose_local_recipients(self, to_all: bool = False) -> list[HostId]:
         """Return the hosts of this data centre that get a digest.
 
-        :param to_all: it is one of those that hosts get as well to which another relay
-            speaks, or which have fallen silent.
+        :param to_all: it is a broadcast: standby relays send it to all hosts too, and
+            silent hosts get it as well.
         """
-        if not self.is_full_mesh and not self.is_relay:
+        if not self.is_mesh and not self.is_relay:
             return self.relays[:RELAYS_PER_HOST]
         if to_all:
             return list(self.list_ages())
-        if self.is_full_mesh or self.is_lead:
+        if self.is_mesh or self.is_lead:
             return self.list_local()
         return [host for host in self.relays if host != self._own]
 
@@ -293,7 +319,7 @@
         for host, item in self.peers.items():
             if item.data_centre != self._home:
                 far.setdefault(item.data_centre, []).append(host)
-        if self.is_full_mesh:
+        if self.is_mesh:
             heard = self._list_heard(SILENT_SECONDS, local=False)
             return self._source.sample(heard, min(REMOTE_PEERS, len(heard)))
         if not self.is_lead:
@@ -303,7 +329,10 @@
         ]
 
     def _choose_remote_relay(self, hosts: list[HostId]) -> list[HostId]:
-        """Return whom to tell of another data centre: its relay, as far as is known."""
+        """Return the hosts of a remote data centre to send to: its relay, if known.
+
+        :param hosts: the known hosts of that data centre.
+        """
         now = self._clock.monotonic()
         heard = [
             host for host in hosts if now - self.peers[host].heard_at < SILENT_SECONDS
@@ -317,5 +346,5 @@
 
 
 def _is_reading(peer: PeerState, now: float) -> bool:
-    """Tell whether a host was lately said to read the store."""
+    """Tell whether a host was recently reported to read the store."""
     return peer.reading_at is not None and now - peer.reading_at < READER_SECONDS
--- a/marigoldswitch/gateway/spread.py
+++ b/marigoldswitch/gateway/spread.py
@@ -1,8 +1,8 @@
-"""What the hosts of a gateway tell each other every so often: loads and findings.
+"""Periodic exchange of load digests between the hosts of a gateway.
 
-Nothing is agreed here, and nothing waits for an answer: a digest that is lost is made
-up for by the next one. Where a data centre has few hosts, each tells each other; where
-it has many, each tells its relays, and these tell the others.
+There is no agreement and no acknowledgement: the next digest makes up for a lost one.
+The few hosts of a small data centre form a full mesh; in a larger one each host sends
+to its relays, and the relays inform the others.
 """
 
 from collections.abc import Callable, Mapping
@@ -30,35 +30,29 @@
 from marigoldswitch.gateway.news import SpreadParts, StateSync
 from marigoldswitch.gateway.ports import HostRecord
 from marigoldswitch.gateway.roster import SILENT_SECONDS, Roster
-from marigoldswitch.gateway.told import (
-    TICK_SECONDS,
-    UNCHANGED_DIGEST_SECONDS,
-    SendHistory,
-    has_same_content,
-)
+from marigoldswitch.gateway.told import RESEND_SECONDS, TICK_SECONDS, SendLog, is_same
 
 logger = structlog.get_logger(__name__)
 
 SUMMARY_SECONDS = 0.2
-"""Seconds between two words of a host to its relays, and between two sums of these. A
-data centre of 30 hosts gets some 15 requests in this time for 150 that it has under
-way: choices that are off by that much are made up for by the random part of costs and
-by engines that are not filled to the brim."""
+"""Interval of digests from a host to its relays, and of summaries from the lead relay.
+30 hosts get about 15 requests in this time, with 150 in flight; the random part of
+costs and spare room on the engines absorb an error of that size."""
 BROADCAST_SECONDS = 1.0
-"""Seconds between two digests to all hosts of the data centre, of a relay that does not
-sum up or of a host to which nobody has spoken; relays count hosts as live for 3 s."""
+"""Interval of digests from a relay, or from a host of a full mesh, to all hosts of the
+data centre, silent ones too; relays count a host as live for 3 s."""
 REMOTE_DIGEST_SECONDS = 0.5
-"""Seconds between two digests to the relays of other data centres, whose engines are
-used when those at home are full."""
+"""Interval of digests from the lead relay to other data centres. Their engines are used
+only when the local ones are full."""
 REMOTE_SUMMARY_SECONDS = 1.5
-"""Seconds between two sums that tell of other data centres as well."""
+"""Interval of summaries that include other data centres."""
 HOST_LIST_SECONDS = 15.0
-"""Seconds between two sums that name all hosts, of which the others know by hearsay
-only: an eighth of the time after which a host is forgotten."""
+"""Interval of summaries that list all hosts, an eighth of the time after which a host
+is forgotten: most hosts hear of each other only through these lists."""
 ORDERER_TIMEOUT_SECONDS = 1.2
-"""Time for which the word of the host that holds the orderer's lease stands."""
+"""Time after its last note for which a holder of the orderer's lease counts as live."""
 URGENT_DIGEST_SECONDS = 0.05
-"""Least time between two digests that are told out of turn."""
+"""Minimum time from the last digest to one that is sent out of turn."""
 
 
 class Spread:
@@ -69,7 +63,7 @@
         self.lease: Lease | None = None
         """The lease of the engines' orderer, as this host sees it."""
         self.recent_layers: dict[TargetId, tuple[float, LayerRange | None]] = {}
-        """What the orderer has just seen engines to hold."""
+        """The layers that each engine was last seen to hold, and when."""
         self._parts = parts
         self._home = DataCentre(parts.identity.data_centre)
         self.roster = Roster(
@@ -79,12 +73,10 @@
             parts.source,
             parts.identity.strength,
         )
-        self._orderer_note: LeaseNote | None = None
+        self._lease_note: LeaseNote | None = None
         self._orderer_heard_at = float("-inf")
-        self._state_sync = StateSync(
-            parts, self.roster.must_read, lambda: self._is_current
-        )
-        self._sent = SendHistory()
+        self._sync = StateSync(parts, self.roster.must_read, lambda: self._is_current)
+        self._sent = SendLog()
         handle_digest: Callable[..., None] = self._handle_digest
         parts.network.register(LoadDigest, handle_digest)
         parts.directory.registry.watch(self._note_change)
@@ -96,12 +88,12 @@
 
     @property
     def hears_orderer(self) -> bool:
-        """Tell whether another host has lately said that it orders the engines."""
+        """Tell whether a lease note of the engines' orderer is recent."""
         now = self._parts.clock.monotonic()
         return now - self._orderer_heard_at < ORDERER_TIMEOUT_SECONDS
 
     def look_at_outage(self) -> OutageView:
-        """Return what this host sees of an outage of the store."""
+        """Return this host's view of an outage of the store."""
         roster = self.roster
         lost = self._parts.targets.measure_outage() if roster.must_read() else 0.0
         return OutageView(
@@ -114,7 +106,7 @@
 
     @property
     def _is_reader(self) -> bool:
-        """Tell whether this host follows the store, and the store answers."""
+        """Tell whether this host reads the store, and the store answers."""
         parts = self._parts
         lost = (
             parts.configuration.dependency.is_lost or parts.targets.dependency.is_lost
@@ -123,27 +115,23 @@
 
     @property
     def _is_current(self) -> bool:
-        """Tell whether this host may tell others of the targets."""
+        """Tell whether this host may send its list of targets to others."""
         parts = self._parts
         if self._is_reader:
             return True
         revision = parts.directory.registry.revision
-        return parts.directory.is_complete and self.roster.is_level_with_reader(
-            revision
-        )
+        return parts.directory.is_complete and self.roster.matches_reader(revision)
 
     @property
     def period(self) -> float:
-        """Return the seconds until the next tick: what is due soonest at this host."""
+        """Return the seconds until the next tick."""
         roster = self.roster
-        return (
-            TICK_SECONDS if roster.is_full_mesh or roster.is_relay else SUMMARY_SECONDS
-        )
+        return TICK_SECONDS if roster.is_mesh or roster.is_relay else SUMMARY_SECONDS
 
     def greet(self) -> None:
-        """Tell the hosts that must know of this one: each, or its relays.
+        """Announce this host: to all hosts in a full mesh, otherwise to its relays.
 
-        A greeting to each would open a connection for each pair at a start of all.
+        When all hosts start, announcements to all would open a connection per pair.
         """
         digest = self._build_digest()
         near = self.roster.choose_local_recipients(to_all=True)
@@ -151,13 +139,13 @@
             self._parts.network.send(host, digest)
 
     def tell_now(self) -> None:
-        """Tell the near hosts at once of what was found."""
+        """Send a digest to the hosts of this data centre out of turn, for a finding."""
         now = self._parts.clock.monotonic()
-        if now - self._sent.last_sent_at >= URGENT_DIGEST_SECONDS:
+        if now - self._sent.digest_at >= URGENT_DIGEST_SECONDS:
             self._send_local(self._build_digest(), to_all=False)
 
     def tick(self) -> None:
-        """Send what is due."""
+        """Expire old state and send the messages that are due."""
         now = self._parts.clock.monotonic()
         roster = self.roster
         self._parts.loads.expire(now)
@@ -167,30 +155,26 @@
         to_all = self._sent.mark_if_due(now, "all", BROADCAST_SECONDS)
         if to_all or self._is_due(digest, now):
             self._send_local(digest, to_all)
-        if not roster.is_full_mesh and roster.is_lead:
+        if not roster.is_mesh and roster.is_lead:
             self._send_summary(now)
-        if roster.is_full_mesh or self._sent.mark_if_due(
-            now, "far", REMOTE_DIGEST_SECONDS
-        ):
+        if roster.is_mesh or self._sent.mark_if_due(now, "far", REMOTE_DIGEST_SECONDS):
             self._send_remote(digest)
 
     def _is_due(self, digest: LoadDigest, now: float) -> bool:
-        """Tell whether the near hosts should get a digest now."""
-        waited = now - self._sent.last_sent_at
-        if self._sent.last_digest is not None and has_same_content(
-            digest, self._sent.last_digest
-        ):
-            return waited >= UNCHANGED_DIGEST_SECONDS and self.roster.is_lead
-        return self.roster.is_full_mesh or waited >= SUMMARY_SECONDS - TICK_SECONDS
+        """Tell whether the hosts of this data centre should get a digest now."""
+        waited = now - self._sent.digest_at
+        if self._sent.digest is not None and is_same(digest, self._sent.digest):
+            return waited >= RESEND_SECONDS and self.roster.is_lead
+        return self.roster.is_mesh or waited >= SUMMARY_SECONDS - TICK_SECONDS
 
     def _send_local(self, digest: LoadDigest, to_all: bool) -> None:
-        """Send a digest to the near hosts; loads only to those that add them up."""
+        """Send a digest in this data centre; only hosts that sum loads get usages."""
         now = self._parts.clock.monotonic()
-        self._sent.last_digest, self._sent.last_sent_at = digest, now
+        self._sent.digest, self._sent.digest_at = digest, now
         self._parts.loads.note_told()
         hosts = self.roster.choose_local_recipients(to_all)
         summing = hosts
-        if not self.roster.is_full_mesh:
+        if not self.roster.is_mesh:
             relays = self.roster.relays
             summing = [host for host in hosts if host in relays]
         for host in summing:
@@ -202,9 +186,10 @@
                     self._parts.network.send(host, stripped)
 
     def _send_remote(self, digest: LoadDigest) -> None:
+        """Send a digest, and as the lead relay a summary, to other data centres."""
         hosts = self.roster.choose_remote_recipients()
         messages: list[LoadDigest | LoadSummary] = [digest]
-        if hosts and not self.roster.is_full_mesh:
+        if hosts and not self.roster.is_mesh:
             sums = {self._home: self._parts.loads.sum_home()}
             stripped = replace(digest, usages=(), readers=())
             messages = [stripped, self._build_summary(sums)]
@@ -213,7 +198,7 @@
                 self._parts.network.send(host, message)
 
     def _send_summary(self, now: float) -> None:
-        """Tell the hosts of this data centre what all of them hold together."""
+        """Send the total usage of targets to the hosts of this data centre."""
         if not self._sent.mark_if_due(now, "sum", SUMMARY_SECONDS):
             return
         loads = self._parts.loads
@@ -278,49 +263,46 @@
         )
 
     def _build_lease_note(self, now: float) -> LeaseNote | None:
-        """Return the lease that this host holds, or as a relay has heard of."""
+        """Return the lease that this host holds, or that it forwards as a relay."""
         held = self.lease.show_row() if self.lease else None
         if held is not None:
             own = HostId(self._parts.identity.host)
             return LeaseNote(encode_lease(held[0]), held[1], own)
         if (
-            self._orderer_note is None
+            self._lease_note is None
             or not self.hears_orderer
             or not self.roster.is_relay
         ):
             return None
-        return replace(self._orderer_note, age=round(now - self._orderer_heard_at, 2))
+        return replace(self._lease_note, age=round(now - self._orderer_heard_at, 2))
 
     def _note_change(self, change: Change, target: Target) -> None:
         if change is Change.GONE:
-            # One that starts again under its id holds nothing of what was seen.
+            # A target that restarts under its id no longer holds these layers.
             self.recent_layers.pop(target.id, None)
 
-    # Digests of others.
+    # Messages from other hosts.
 
     def _handle_digest(self, sender: HostId, digest: LoadDigest) -> None:
         parts = self._parts
         now = parts.clock.monotonic()
         is_new = self.roster.hear(sender, digest)
         if is_new or digest.version < parts.directory.version:
-            # A host that has just started is ready as soon as it knows whom to ask.
+            # A host that has just started needs a peer to fetch state from.
             parts.network.send(sender, self._build_digest())
         usages = _decode_usages(digest.usages)
         parts.loads.hear(sender, digest.data_centre, usages, now)
         self._probe_reported_dead(digest.dead, now)
         if digest.lease is not None:
             self._update_orderer(digest.lease, digest, now)
-        elif self._orderer_note is not None and sender == self._orderer_note.holder:
+        elif self._lease_note is not None and sender == self._lease_note.holder:
             self._forget_orderer(now)
         self._update_layers(digest.layers, now)
         self._crash_notes.resync_if_different(sender, digest.crashes)
-        self._state_sync.request_missing(sender, digest, now)
+        self._sync.request_missing(sender, digest, now)
 
     def _probe_reported_dead(self, names: tuple[TargetId, ...], now: float) -> None:
-        """Look at engines that a peer says are dead.
-
-        What a peer can't reach may well be alive: the peer may be cut off.
-        """
+        """Probe engines that a peer reports dead, as the peer itself may be cut off."""
         parts = self._parts
         for name in names:
             target = parts.directory.registry.targets.get(name)
@@ -330,16 +312,16 @@
                 parts.probes.check_later(target)
 
     def _must_probe(self, target: Target) -> bool:
-        """Tell whether it matters to this host, or to those it tells, if one is dead.
+        """Tell whether this host, or one that it informs, may use a target.
 
-        Engines of other data centres get few requests, and only while those at home are
-        full, so that probes of them by each host could change nothing.
+        Engines of other data centres get few requests, only while the local ones are
+        full. Probes of them by every host would change nothing.
         """
         roster = self.roster
         return (
             target.data_centre == self._home
             or target.id in self._parts.loads.own
-            or roster.is_full_mesh
+            or roster.is_mesh
             or roster.is_relay
             or (self.lease is not None and self.lease.holds)
         )
@@ -352,25 +334,25 @@
             self._parts.loads.hear_sum(item.data_centre, usages, now)
 
     def _forget_orderer(self, now: float) -> None:
-        """Learn that the host that ordered the engines does so no more."""
+        """Record that the orderer has given its lease up."""
         self._orderer_heard_at = float("-inf")
         if self.lease is not None:
             self.lease.note_released(now)
 
     def _update_orderer(self, note: LeaseNote, digest: LoadDigest, now: float) -> None:
-        """Take what the host that orders the engines knows and relays pass on."""
+        """Store the orderer's lease and slow engines, received directly or by relay."""
         parts = self._parts
         heard = now - note.age
-        known = self._orderer_note
+        known = self._lease_note
         if known is not None and note.version < known.version:
             return
         if heard <= self._orderer_heard_at:
             return
-        is_expired = known is not None and not self.hears_orderer
-        if is_expired and note.age > 0.0 and known and note.version == known.version:
-            # A relay that has not heard yet that its holder gave it up.
+        is_lapsed = known is not None and not self.hears_orderer
+        if is_lapsed and note.age > 0.0 and known and note.version == known.version:
+            # From a relay that does not yet know that the holder gave the lease up.
             return
-        self._orderer_note, self._orderer_heard_at = note, heard
+        self._lease_note, self._orderer_heard_at = note, heard
         if self.lease is not None and not self.lease.holds:
             try:
                 self.lease.see(Row(note.value, note.version), now)
@@ -381,7 +363,7 @@
             parts.planner.slowness[slow.target] = slow.factor
 
     def _update_layers(self, layers: tuple[HeldLayers, ...], now: float) -> None:
-        """Take what engines were seen to hold, newer than what is known of them."""
+        """Store newer observations of the layers that engines hold."""
         is_new = False
         for held in layers:
             at = now - held.age
@@ -395,11 +377,11 @@
             is_new = is_new or known is None or known[1] != span
             registry.note_layers(held.target, span, held.born)
             self.recent_layers[held.target] = (at, span)
-        if is_new and self.roster.is_lead and not self.roster.is_full_mesh:
+        if is_new and self.roster.is_lead and not self.roster.is_mesh:
             self.tell_now()
 
     def meet(self, record: HostRecord) -> None:
-        """Learn of a host from the store or the settings."""
+        """Add a host that the store or the settings name."""
         self.roster.meet(record)
 
 
--- a/marigoldswitch/gateway/told.py
+++ b/marigoldswitch/gateway/told.py
@@ -1,41 +1,47 @@
-"""What a host has told its peers, and when."""
+"""The digests that a host has last sent to its peers, and when it sent them."""
 
 from dataclasses import dataclass, field, replace
 
 from marigoldswitch.core.gateway_messages import LoadDigest
 
 TICK_SECONDS = 0.1
-"""Seconds between two looks whether something is due; between two digests where each
-host tells each other: a few requests arrive at a data centre meanwhile."""
-UNCHANGED_DIGEST_SECONDS = 0.5
-"""Time for which an unchanged digest is left out: the relay that sums up must speak
+"""Interval of checks for due messages, and of digests between the hosts of a full mesh.
+Only a few requests arrive at a data centre in this time."""
+RESEND_SECONDS = 0.5
+"""Time after which an unchanged digest is sent again; the lead relay must be heard
 within 0.75 s."""
 
 
 @dataclass(slots=True)
-class SendHistory:
-    """What was told last, and when."""
-
-    last_digest: LoadDigest | None = None
-    last_sent_at: float = float("-inf")
-    last_stripped: LoadDigest | None = None
-    last_stripped_at: float = float("-inf")
+class SendLog:
+    """What was last sent, and when.
+
+    :ivar digest: the last digest to the hosts of this data centre, sent at
+        ``digest_at``.
+    :ivar stripped: the last digest without usages, sent at ``stripped_at``.
+    :ivar sent_at: when each kind of periodic message was last sent.
+    """
+
+    digest: LoadDigest | None = None
+    digest_at: float = float("-inf")
+    stripped: LoadDigest | None = None
+    stripped_at: float = float("-inf")
     sent_at: dict[str, float] = field(default_factory=dict)
 
     def has_sent_stripped(self, stripped: LoadDigest, now: float) -> bool:
-        """Tell whether the hosts that add nothing up know this; if not, they do now."""
-        known = self.last_stripped is not None and has_same_content(
-            stripped, self.last_stripped
-        )
-        if known and now - self.last_stripped_at < UNCHANGED_DIGEST_SECONDS:
+        """Tell whether a digest without usages was sent lately; if not, record it."""
+        known = self.stripped is not None and is_same(stripped, self.stripped)
+        if known and now - self.stripped_at < RESEND_SECONDS:
             return True
-        self.last_stripped, self.last_stripped_at = stripped, now
+        self.stripped, self.stripped_at = stripped, now
         return False
 
     def mark_if_due(self, now: float, kind: str, seconds: float) -> bool:
-        """Tell whether something is due again; if so, it is done now.
+        """Tell whether a kind of message is due; if so, record it as sent now.
+
+        It counts as due up to half a tick early, as the next check may be as much late.
 
-        Half a tick early counts: the next look would be half a tick late.
+        :param seconds: interval of such messages.
         """
         last = self.sent_at.get(kind, float("-inf"))
         if now - last < seconds - TICK_SECONDS / 2:
@@ -44,8 +50,8 @@
         return True
 
 
-def has_same_content(digest: LoadDigest, sent: LoadDigest) -> bool:
-    """Tell whether a digest says nothing new: ages grow by themselves."""
+def is_same(digest: LoadDigest, sent: LoadDigest) -> bool:
+    """Tell whether two digests are equal apart from ages, which grow by themselves."""
     return _strip_ages(digest) == _strip_ages(sent)
 
 
