--- a/marigoldswitch/tests/test_crash_spread.py
+++ b/marigoldswitch/tests/test_crash_spread.py
@@ -1,4 +1,4 @@
-"""Hosts tell each other of requests that end targets, on a virtual clock."""
+"""Exchange of notes on requests that crash targets, on a virtual clock."""
 
 import random
 from collections import Counter
@@ -22,7 +22,11 @@
 
 
 class SimulatedNetwork:
-    """Hosts of three data centres on a network without loss, but for hosts cut off."""
+    """Hosts of three data centres on a network that loses nothing.
+
+    :ivar partitioned: hosts that are cut off from all others.
+    :ivar note_bytes: bytes of crash notes that each host has sent.
+    """
 
     def __init__(self, hosts_per_centre):
         self.now = 0.0
@@ -30,7 +34,6 @@
         self.partitioned = set()
         self.sent = Counter()
         self.note_bytes = Counter()
-        """Sent by each host to tell of requests that end targets."""
         self.spreads, self.watches = {}, {}
         self._codec = MessageCodec(GatewayMessage)
         self._handlers = {}
@@ -44,7 +47,7 @@
             self.start_host(own, centre)
 
     def start_host(self, own, centre):
-        """Start a host that knows nothing, or start it again."""
+        """Start or restart a host, without any state."""
         handlers = self._handlers[own] = {}
         network = SimpleNamespace(
             register=handlers.__setitem__,
@@ -83,7 +86,7 @@
         self.queue.append((self.now + DELIVERY_SECONDS, own, host, content))
 
     def run_for(self, seconds):
-        """Deliver what is sent and tick; messages pass through their codec."""
+        """Deliver messages, encoded and decoded, and tick all hosts."""
         end = self.now + seconds
         while self.now < end:
             self.now += DELIVERY_SECONDS
@@ -103,7 +106,7 @@
                     spread.tick()
 
     def report_crash(self, host, number, name="bad"):
-        """Have a host see that a request has ended a target."""
+        """Have a host observe that a request has crashed a target."""
         watch = self.watches[host]
         cut = [CutRequest(name, None, False)]
         watch._ledger.note_end(TargetStart(f"engine-{number}", 1), cut, self.now)
@@ -162,10 +165,10 @@
 
 @pytest.mark.parametrize("hosts_per_centre", [3, 20])
 def test_notes_on_the_loss_of_a_rack_take_few_bytes(hosts_per_centre):
-    """Thirty targets end, each under a request of a third of the hosts.
+    """Thirty targets end, each with requests of a third of the hosts.
 
-    What a host may spend on control is 2 KB/s, and a rack goes every month or two: this
-    takes what is allowed for a minute.
+    A host may spend 2 KB/s on control traffic. A rack is lost every month or two, so
+    the limit is what is allowed for a minute.
     """
     hosts = SimulatedNetwork(hosts_per_centre)
     hosts.run_for(3.0)
--- a/marigoldswitch/tests/test_crashes.py
+++ b/marigoldswitch/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets which run them, on stand-ins."""
+"""Requests that crash the targets running them, on stand-in targets."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 async def send(site, number, host, body, path="/draft/1"):
-    """Return the status of a request and its body, as far as it came."""
+    """Return the status of a request and its body; ``None`` if that broke off."""
     async with site.call(path, number, host, data=body) as answer:
         try:
             return answer.status, await answer.read()
@@ -28,7 +28,7 @@
 
 
 async def add_crashing_engines(site, count):
-    """Add engines that end when they begin to run a body; return what ends them all."""
+    """Add engines that crash on certain bodies; return the set of these bodies."""
     crashing = {CRASHING}
     for index in range(count):
         engine = await site.add_engine(f"x{index}", "north", (0, 8))
@@ -161,8 +161,11 @@
 
 
 def test_request_costs_no_fingerprint_while_no_target_has_ended(monkeypatch):
-    """Before: none at all. Working one out takes 2 us for a body of 2 KB, 0.7 ms for 1
-    MB; a look-up among 512 requests takes 0.1 us."""
+    """Fingerprints are not computed before they are needed.
+
+    One takes 2 us for a body of 2 KB and 0.7 ms for 1 MB. A look-up among 512 requests
+    takes 0.1 us.
+    """
     computed = []
     monkeypatch.setattr(exchanges, "fingerprint_request", computed.append)
 
--- a/marigoldswitch/tests/test_followers_pause.py
+++ b/marigoldswitch/tests/test_followers_pause.py
@@ -1,4 +1,4 @@
-"""While the store turns all away, hosts that are not the first try seldom."""
+"""Pauses between reads of the store, in an outage and between changes."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 SILENCE_SECONDS = 0.5
 """Time beyond a read's wait after which its connection counts as silent."""
 LEAVING_USE_SECONDS = 0.8
-"""Time for which a target that leaves may still get work once it was seen to leave."""
+"""Time for which a leaving target may still get work after it was seen to leave."""
 
 
 def build_failed_dependency(times):
@@ -52,10 +52,10 @@
 
 @pytest.mark.parametrize(("touch", "leaving"), [(3.0, 2.0), (4.0, 3.0), (5.0, 4.0)])
 def test_reads_wait_as_long_as_the_bounds_of_a_deployment_allow(touch, leaving):
-    """Before, each deployment was read as one of 3 s and 2 s is.
+    """Reads are paid for, so they are as rare as the bounds of a deployment allow.
 
-    A host that reads made 1.25 waiting reads a second in a calm time, now 0.74 where it
-    may be 5 s behind.
+    With bounds of 3 s and 2 s a reader makes 1.25 reads a second without changes; where
+    it may be 5 s behind, 0.74.
     """
     waits = choose_waits(touch, leaving)
     reconnect_seconds = RETRY_SECONDS * 1.5
@@ -70,13 +70,13 @@
 
 
 LINK_BYTES_PER_SECOND = 1.25e6
-"""Bytes a second of a link of 10 Mbit/s."""
+"""Rate of a link of 10 Mbit/s."""
 CONFIGURATION_BYTES = 69_000
-"""Of an answer of the store with a configuration, in a play of 69 hosts."""
+"""Size of an answer of the store with a configuration, at a site of 69 hosts."""
 
 
 class StandInStore:
-    """Has a new configuration every 0.08 s for two seconds."""
+    """A store that has a new configuration every 0.08 s for two seconds."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -92,9 +92,10 @@
 
 
 def test_configurations_that_come_in_series_do_not_fill_a_small_link():
-    """Read one by one, 25 of them in 2 s took 0.86 of 1.25 MB a second.
+    """Guards against a read for each of 25 configurations in 2 s.
 
-    Answers of targets waited behind them, so that live engines looked silent.
+    These take 0.86 MB/s of a link of 1.25 MB/s. Answers of targets wait behind them, so
+    that live engines look silent.
     """
 
     async def play(clock):
--- a/marigoldswitch/tests/test_large_configuration.py
+++ b/marigoldswitch/tests/test_large_configuration.py
@@ -1,12 +1,11 @@
 """A large configuration is in force in time at hosts that can't read the store.
 
-A configuration grew by 1,040 routes to 253 KB. In the data centre of 30 hosts whose
-readers the store turned away, the hosts took it from whoever spoke of it, and asked
-again every 0.4 s while the copies waited on links of 20 Mbit/s: 237 copies to 89
-hosts. One had it in force 5.3 s after it was written, where 3 s are allowed; callers on
-the new routes got 404 meanwhile. ``configuration_told`` shows 16 copies of 253,498
-bytes within 10 ms of a host whose link needs 1.6 s for them, and
-``configuration_adopted`` comes 2.4 to 5.2 s later.
+Guards against repeated requests for a configuration whose copies still wait on the
+sender's link. Hosts that ask again every 0.4 s get several copies each: 237 copies of
+253 KB to 89 hosts, over links of 20 Mbit/s. A host then has it in force up to 5.3 s
+after it was written, where 3 s are allowed, and callers on new routes get 404 until
+then. The log shows 16 ``configuration_told`` within 10 ms at a host whose link needs
+1.6 s for them, and ``configuration_adopted`` 2.4 to 5.2 s later.
 """
 
 import asyncio
@@ -32,15 +31,15 @@
 SOURCE_HOST = HostId("10.1.0.1:80")
 HOSTS = [HostId(f"10.1.0.{number}:80") for number in range(2, 30)]
 IN_FORCE_SECONDS = 3.0
-"""In which a configuration must be in force on the sites with such links."""
+"""Time within which a configuration must be in force."""
 STORE_READ_SECONDS = 0.5
-"""Of these for the way from the store to the first host of a data centre: a waiting
-read's answer takes 0.1 s, one that is tried again 0.5 s."""
+"""Part of this for the read by the first host of a data centre: the answer to a waiting
+read takes 0.1 s, after a retry 0.5 s."""
 DIGEST_SECONDS = 0.2
 
 
 def build_content(routes):
-    """Return a configuration like those of the sites."""
+    """Return a configuration with realistic routes."""
     rows = [
         {
             "name": f"r-{index * 7919 % 99991:05x}",
@@ -59,7 +58,12 @@
 
 
 class Site:
-    """One host that has the configuration and 28 that ask it, over its link."""
+    """One host that has the configuration, and 28 that request it over its link.
+
+    :param link_rate: of the link, in bytes a second.
+    :ivar received_at: when each host first received the configuration.
+    :ivar copies: number of copies sent to each host.
+    """
 
     def __init__(self, clock, link_rate):
         self.clock, self.link_rate = clock, link_rate
@@ -106,7 +110,7 @@
                 loop.call_later(delay, self._transmit, to, message)
 
     def _transmit(self, to, message):
-        """Put a copy on the teller's link, behind what waits there."""
+        """Queue a copy on the sender's link."""
         now = self.clock.monotonic()
         self.link_free_at = (
             max(self.link_free_at, now) + len(message.content) / self.link_rate
@@ -121,7 +125,7 @@
         self.syncs[SOURCE_HOST]._parts.directory.stored = stored
 
     async def send_digests(self, seconds):
-        """Have the teller's digests come to all, again and again."""
+        """Send the source host's digest to all hosts at each interval."""
         digest = LoadDigest(HOME, 7, 0)
         for _ in range(round(seconds / DIGEST_SECONDS)):
             for host in HOSTS:
--- a/marigoldswitch/tests/test_news.py
+++ b/marigoldswitch/tests/test_news.py
@@ -1,4 +1,4 @@
-"""News is asked of hosts that can tell it."""
+"""Transfer of targets and configurations between hosts."""
 
 import zlib
 from types import SimpleNamespace
@@ -28,7 +28,7 @@
 
 
 def build_state_sync(sent, clock=None, current=False):
-    """Return the news of a host that leaves reading to others."""
+    """Return the state sync of a host that does not read the store."""
     network = SimpleNamespace(
         register=lambda kind, handler: None,
         send=lambda host, message: sent.append((host, message)),
--- a/marigoldswitch/tests/test_spread.py
+++ b/marigoldswitch/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""A relay tells the other hosts what is news to them, and loads only as a sum."""
+"""What a relay sends to the other hosts: changes at once, loads only as summaries."""
 
 import random
 from collections import Counter
@@ -19,7 +19,11 @@
 
 
 class SimulatedHost:
-    """The first of ten hosts of a data centre, with what it sends."""
+    """One of ten hosts of a data centre, the lead relay by default.
+
+    :ivar sent: the messages that it sends, with their recipients.
+    :ivar checked: the targets that it probes.
+    """
 
     def __init__(self, own=HOSTS[0]):
         self.now = 0.0
@@ -50,7 +54,10 @@
         self.spread = Spread(parts)
 
     def run_ticks(self, seconds):
-        """Tick for a while, as loads come and go; return what was sent to whom."""
+        """Tick for some seconds, with digests from the others and a growing load.
+
+        :return: the number of messages sent, by recipient and type.
+        """
         self.sent = []
         for _ in range(round(seconds / 0.1)):
             self.now += 0.1
@@ -88,9 +95,9 @@
 
 
 def test_work_of_a_digest_does_not_grow_with_the_square_of_the_hosts(monkeypatch):
-    """Who relays is asked once a digest, not once for each host that gets it.
+    """The relays are worked out once per digest, not once per recipient.
 
-    Under a profiler a relay of thirty hosts listed its peers 400 times a second, 6 % of
+    Otherwise a relay of 30 hosts lists its peers 400 times a second, which takes 6 % of
     its processor time.
     """
 
@@ -112,7 +119,7 @@
 
 
 def list_probed_engines(host):
-    """Return which engines a host looks at when a relay says that they are dead."""
+    """Return the engines that a host probes when a relay reports them dead."""
     for centre in (HOME, FAR):
         name = TargetId(f"engine-{centre}")
         target = Target(name, ServiceName("m"), centre, f"{centre}:1", 1, None, "card")
@@ -125,10 +132,11 @@
 
 
 def test_hosts_probe_only_dead_engines_that_they_or_their_recipients_use():
-    """Each of 195 hosts looked at each dead engine of five data centres.
+    """Guards against probes by every host of every dead engine.
 
-    Seven engines that died together cost 195 first looks each, 39 of them by hosts of
-    their data centre: 3.9 probes a request on a day of releases and crashes.
+    With 195 hosts in five data centres, each engine that died cost 195 first probes, of
+    which only 39 came from its own data centre: 3.9 probes a request on a day of
+    releases and crashes.
     """
     assert list_probed_engines(SimulatedHost(HOSTS[9])) == {"engine-north"}
     using = SimulatedHost(HOSTS[9])
