--- a/marigoldswitch/gateway/followers.py
+++ b/marigoldswitch/gateway/followers.py
@@ -15,10 +15,10 @@
 logger = structlog.get_logger(__name__)
 
 CONFIGURATION_WAIT_SHARE = 0.65
-"""Time that a read waits for a configuration, as a share of the time within which a
-host must have it in force. A silent connection is noticed half a second after the wait,
-and a reconnection must fit in too. Reads are paid for, so they wait as long as allowed.
-"""
+"""Time that a read waits for a configuration, as a share of the time after trouble
+within which a host must be up to date again. A silent connection is noticed half a
+second after the wait, and a reconnection must fit in too. Reads are paid for, so they
+are as rare as that time allows."""
 TARGETS_WAIT_SHARE = 0.4
 """The same for the targets. It is shorter because a leaving engine stays in use for up
 to 0.8 s after it was seen to leave, which must fit in as well."""
@@ -55,7 +55,7 @@
 def choose_waits(touch_seconds: float, leaving_seconds: float) -> Waits:
     """Return the longest waits that the bounds of a deployment allow.
 
-    :param touch_seconds: within which a host must have a change of the store in force.
+    :param touch_seconds: after trouble, within which a host must be up to date again.
     :param leaving_seconds: after which a leaving target must get no more work.
     """
     return Waits(
--- a/marigoldswitch/gateway/roster.py
+++ b/marigoldswitch/gateway/roster.py
@@ -95,7 +95,7 @@
         self._own_rank = HostRank(-strength, own)
         self._home = home
         self._source = source
-        self._turn = ReaderTurn()
+        self._reader_turn = ReaderTurn()
         self._started_at = clock.monotonic()
         self.is_listed = False
         self._summaries: dict[DataCentre, tuple[float, LoadSummary]] = {}
@@ -195,8 +195,8 @@
     def _get_summary(self, centre: DataCentre) -> LoadSummary | None:
         """Return the last summary from a data centre, if it is recent."""
         at, summary = self._summaries.get(centre, (float("-inf"), None))
-        fresh = self._clock.monotonic() - at < SUMMARY_VALID_SECONDS
-        return summary if fresh else None
+        is_fresh = self._clock.monotonic() - at < SUMMARY_VALID_SECONDS
+        return summary if is_fresh else None
 
     def _list_heard(self, seconds: float, local: bool) -> list[HostId]:
         now = self._clock.monotonic()
@@ -260,7 +260,7 @@
             if item.data_centre == self._home and _is_reading(item, now)
         ]
         ranks = self._rank_ages()
-        return self._turn.must_read(self._own_rank, ranks, readers, now)
+        return self._reader_turn.must_read(self._own_rank, ranks, readers, now)
 
     def choose_patience(self) -> float:
         """Return the factor by which this host waits longer in an outage of the store.
@@ -315,17 +315,19 @@
 
     def choose_remote_recipients(self) -> list[HostId]:
         """Return the hosts of other data centres that get a digest."""
-        far: dict[DataCentre, list[HostId]] = {}
+        remote: dict[DataCentre, list[HostId]] = {}
         for host, item in self.peers.items():
             if item.data_centre != self._home:
-                far.setdefault(item.data_centre, []).append(host)
+                remote.setdefault(item.data_centre, []).append(host)
         if self.is_mesh:
             heard = self._list_heard(SILENT_SECONDS, local=False)
             return self._source.sample(heard, min(REMOTE_PEERS, len(heard)))
         if not self.is_lead:
             return []
         return [
-            host for hosts in far.values() for host in self._choose_remote_relay(hosts)
+            host
+            for hosts in remote.values()
+            for host in self._choose_remote_relay(hosts)
         ]
 
     def _choose_remote_relay(self, hosts: list[HostId]) -> list[HostId]:
--- a/marigoldswitch/gateway/spread.py
+++ b/marigoldswitch/gateway/spread.py
@@ -129,13 +129,13 @@
         return TICK_SECONDS if roster.is_mesh or roster.is_relay else SUMMARY_SECONDS
 
     def greet(self) -> None:
-        """Announce this host: to all hosts in a full mesh, otherwise to its relays.
+        """Announce this host to its relays, or to all from a relay or in a full mesh.
 
         When all hosts start, announcements to all would open a connection per pair.
         """
         digest = self._build_digest()
-        near = self.roster.choose_local_recipients(to_all=True)
-        for host in (*near, *self.roster.choose_remote_recipients()):
+        local = self.roster.choose_local_recipients(to_all=True)
+        for host in (*local, *self.roster.choose_remote_recipients()):
             self._parts.network.send(host, digest)
 
     def tell_now(self) -> None:
--- a/marigoldswitch/tests/test_crash_spread.py
+++ b/marigoldswitch/tests/test_crash_spread.py
@@ -34,7 +34,7 @@
         self.partitioned = set()
         self.sent = Counter()
         self.note_bytes = Counter()
-        self.spreads, self.watches = {}, {}
+        self.exchanges, self.watches = {}, {}
         self._codec = MessageCodec(GatewayMessage)
         self._handlers = {}
         self._clock = SimpleNamespace(monotonic=lambda: self.now)
@@ -70,11 +70,11 @@
             identity=SimpleNamespace(host=own, data_centre=centre, strength=0),
             source=random.Random(str(own)),
         )
-        self.spreads[own], self.watches[own] = Spread(parts), watch
+        self.exchanges[own], self.watches[own] = Spread(parts), watch
         for other, place in self.names:
-            self.spreads[own].meet(HostRecord(other, place))
-        self.spreads[own].roster.is_listed = True
-        self.spreads[own].greet()
+            self.exchanges[own].meet(HostRecord(other, place))
+        self.exchanges[own].roster.is_listed = True
+        self.exchanges[own].greet()
 
     def _send(self, own, host, message):
         if own in self.partitioned or host in self.partitioned:
@@ -102,7 +102,7 @@
                 % round(TICK_SECONDS / DELIVERY_SECONDS)
                 == 0
             ):
-                for spread in self.spreads.values():
+                for spread in self.exchanges.values():
                     spread.tick()
 
     def report_crash(self, host, number, name="bad"):
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("hosts_per_centre", [3, 20])
-def test_all_hosts_hold_off_a_request_that_two_hosts_saw_end_targets(hosts_per_centre):
+def test_all_hosts_hold_a_request_that_two_hosts_saw_crash_targets(hosts_per_centre):
     hosts = SimulatedNetwork(hosts_per_centre)
     hosts.run_for(3.0)
     hosts.report_crash(hosts.names[1][0], 1)
@@ -129,30 +129,30 @@
 
 
 @pytest.mark.parametrize("hosts_per_centre", [3, 20])
-def test_hosts_that_were_cut_off_or_start_again_learn_of_it(hosts_per_centre):
+def test_hosts_that_were_cut_off_or_restart_receive_the_hold(hosts_per_centre):
     hosts = SimulatedNetwork(hosts_per_centre)
     hosts.run_for(3.0)
-    lost = [hosts.names[0][0], hosts.names[-1][0]]
-    hosts.partitioned = set(lost)
+    cut_off = [hosts.names[0][0], hosts.names[-1][0]]
+    hosts.partitioned = set(cut_off)
     for number in (1, 2):
         hosts.report_crash(hosts.names[1][0], number)
     hosts.run_for(5.0)
-    assert set(hosts.list_without_hold()) == set(lost)
+    assert set(hosts.list_without_hold()) == set(cut_off)
     hosts.partitioned = set()
-    again, centre = hosts.names[2]
-    hosts.start_host(again, centre)
+    restarted, centre = hosts.names[2]
+    hosts.start_host(restarted, centre)
     hosts.run_for(3.0)
     assert not hosts.list_without_hold()
 
 
-def test_nothing_is_sent_of_requests_when_no_target_has_ended():
+def test_no_crash_notes_are_sent_when_no_target_has_ended():
     hosts = SimulatedNetwork(5)
     hosts.run_for(5.0)
     assert hosts.sent[CrashNotes] == 0
 
 
 @pytest.mark.parametrize("hosts_per_centre", [5, 20])
-def test_notes_stop_when_all_hosts_know_the_same(hosts_per_centre):
+def test_no_more_notes_are_sent_once_all_hosts_have_the_same(hosts_per_centre):
     hosts = SimulatedNetwork(hosts_per_centre)
     hosts.run_for(3.0)
     for number in (1, 2):
--- a/marigoldswitch/tests/test_crashes.py
+++ b/marigoldswitch/tests/test_crashes.py
@@ -105,7 +105,7 @@
     run(scenario())
 
 
-def test_request_whose_connections_are_reset_by_live_engines_is_not_held_off():
+def test_request_whose_connections_are_reset_by_live_engines_is_not_held():
     async def scenario():
         async with run_site(hosts=1) as site:
             engines = [
@@ -160,7 +160,7 @@
     run(scenario())
 
 
-def test_request_costs_no_fingerprint_while_no_target_has_ended(monkeypatch):
+def test_no_fingerprint_is_computed_while_no_target_has_ended(monkeypatch):
     """Fingerprints are not computed before they are needed.
 
     One takes 2 us for a body of 2 KB and 0.7 ms for 1 MB. A look-up among 512 requests
@@ -180,7 +180,7 @@
     run(scenario())
 
 
-def test_repeats_of_streams_stay_in_the_budget_when_engine_after_engine_ends():
+def test_retries_of_streams_stay_in_the_budget_when_engine_after_engine_ends():
     async def scenario():
         async with run_site(hosts=1) as site:
             for index in range(6):
@@ -189,22 +189,22 @@
             await site.wait(lambda: len(get_targets(site)) == 6)
             allowance, window, streams = 1.0, 10.0, 12
             site.hosts[0].parts.runs.retries.use_terms(allowance, 0.0)
-            works = [
+            tasks = [
                 asyncio.create_task(send(site, number, 0, b"%d" % number))
                 for number in range(streams)
             ]
             for ends in range(1, 6):
                 await site.wait(
                     lambda: (
-                        all(work.done() for work in works)
-                        or any(_has_streams(item) for item in _list_live(site))
+                        all(work.done() for work in tasks)
+                        or any(_has_streams(item) for item in _list_live_engines(site))
                     )
                 )
                 await asyncio.sleep(0.05)
-                busiest = max(_list_live(site), key=lambda item: len(item._own))
+                busiest = max(_list_live_engines(site), key=lambda item: len(item._own))
                 await busiest.stop()
-                assert len(_list_live(site)) == 6 - ends
-            await asyncio.gather(*works)
+                assert len(_list_live_engines(site)) == 6 - ends
+            await asyncio.gather(*tasks)
             runs = sum(
                 sum(item.runs.values()) for item in site.engines.engines.values()
             )
@@ -213,7 +213,7 @@
     run(scenario())
 
 
-def _list_live(site):
+def _list_live_engines(site):
     return [item for item in site.engines.engines.values() if item.alive]
 
 
--- a/marigoldswitch/tests/test_followers_pause.py
+++ b/marigoldswitch/tests/test_followers_pause.py
@@ -24,7 +24,7 @@
 """Time for which a leaving target may still get work after it was seen to leave."""
 
 
-def build_failed_dependency(times):
+def build_lost_dependency(times):
     dependency = Dependency("a feed")
     for _ in range(times):
         dependency.note_failure("unavailable")
@@ -35,17 +35,17 @@
     source = random.Random(1)
     assert (
         RETRY_SECONDS
-        <= build_failed_dependency(1).choose_pause(source)
+        <= build_lost_dependency(1).choose_pause(source)
         <= 1.5 * RETRY_SECONDS
     )
-    outage_pause = build_failed_dependency(FAILURES_IN_OUTAGE).choose_pause(source)
+    outage_pause = build_lost_dependency(FAILURES_IN_OUTAGE).choose_pause(source)
     assert OUTAGE_RETRY_SECONDS <= outage_pause <= 1.5 * OUTAGE_RETRY_SECONDS
 
 
-def test_other_hosts_wait_longer_from_their_first_failure_on():
+def test_other_hosts_wait_longer_from_the_first_failure():
     source = random.Random(1)
     assert (
-        build_failed_dependency(1).choose_pause(source, BACKOFF_FACTOR)
+        build_lost_dependency(1).choose_pause(source, BACKOFF_FACTOR)
         >= BACKOFF_FACTOR * RETRY_SECONDS
     )
 
@@ -65,8 +65,8 @@
         <= touch
     )
     assert waits.pause + LEAVING_USE_SECONDS <= leaving / 2.0
-    calls = 1.0 / waits.configuration + 1.0 / (waits.targets + waits.pause)
-    assert calls <= 1.25 * 3.0 / touch + 0.01
+    reads_per_second = 1.0 / waits.configuration + 1.0 / (waits.targets + waits.pause)
+    assert reads_per_second <= 1.25 * 3.0 / touch + 0.01
 
 
 LINK_BYTES_PER_SECOND = 1.25e6
