--- a/marigoldswitch/gateway/spread.py
+++ b/marigoldswitch/gateway/spread.py
@@ -1,8 +1,8 @@
-"""What the hosts of a gateway tell each other every so often: loads and findings.
+"""Periodic exchange of load digests between the hosts of a gateway.
 
-Nothing is agreed here, and nothing waits for an answer: a digest that is lost is made
-up for by the next one. Where a data centre has few hosts, each tells each other; where
-it has many, each tells its relays, and these tell the others.
+There is no agreement and no acknowledgement: the next digest makes up for a lost one.
+The few hosts of a small data centre form a full mesh; in a larger one each host sends
+to its relays, and the relays inform the others.
 """
 
 from collections.abc import Callable, Mapping
@@ -26,34 +26,33 @@
 from marigoldswitch.core.loads import Usage
 from marigoldswitch.core.ports import Row
 from marigoldswitch.core.registry import Change
-from marigoldswitch.gateway.crash_news import CrashNews
-from marigoldswitch.gateway.news import News, SpreadParts
+from marigoldswitch.gateway.crash_news import CrashNoteExchange
+from marigoldswitch.gateway.news import SpreadParts, StateSync
 from marigoldswitch.gateway.ports import HostRecord
 from marigoldswitch.gateway.roster import SILENT_SECONDS, Roster
-from marigoldswitch.gateway.told import QUIET_SECONDS, TICK_SECONDS, Told, is_like
+from marigoldswitch.gateway.told import RESEND_SECONDS, TICK_SECONDS, SendLog, is_same
 
 logger = structlog.get_logger(__name__)
 
-SUM_SECONDS = 0.2
-"""Seconds between two words of a host to its relays, and between two sums of these. A
-data centre of 30 hosts gets some 15 requests in this time for 150 that it has under
-way: choices that are off by that much are made up for by the random part of costs and
-by engines that are not filled to the brim."""
-ALL_SECONDS = 1.0
-"""Seconds between two digests to all hosts of the data centre, of a relay that does not
-sum up or of a host to which nobody has spoken; relays count hosts as live for 3 s."""
-FAR_SECONDS = 0.5
-"""Seconds between two digests to the relays of other data centres, whose engines are
-used when those at home are full."""
-FAR_SUM_SECONDS = 1.5
-"""Seconds between two sums that tell of other data centres as well."""
-HOSTS_SECONDS = 15.0
-"""Seconds between two sums that name all hosts, of which the others know by hearsay
-only: an eighth of the time after which a host is forgotten."""
-ORDERER_SECONDS = 1.2
-"""Time for which the word of the host that holds the orderer's lease stands."""
-URGENT_SECONDS = 0.05
-"""Least time between two digests that are told out of turn."""
+SUMMARY_SECONDS = 0.2
+"""Interval of digests from a host to its relays, and of summaries from the lead relay.
+30 hosts get about 15 requests in this time, with 150 in flight; the random part of
+costs and spare room on the engines absorb an error of that size."""
+BROADCAST_SECONDS = 1.0
+"""Interval of digests from a relay, or from a host of a full mesh, to all hosts of the
+data centre, silent ones too; relays count a host as live for 3 s."""
+REMOTE_DIGEST_SECONDS = 0.5
+"""Interval of digests from the lead relay to other data centres. Their engines are used
+only when the local ones are full."""
+REMOTE_SUMMARY_SECONDS = 1.5
+"""Interval of summaries that include other data centres."""
+HOST_LIST_SECONDS = 15.0
+"""Interval of summaries that list all hosts, an eighth of the time after which a host
+is forgotten: most hosts hear of each other only through these lists."""
+ORDERER_TIMEOUT_SECONDS = 1.2
+"""Time after its last note for which a holder of the orderer's lease counts as live."""
+URGENT_DIGEST_SECONDS = 0.05
+"""Minimum time from the last digest to one that is sent out of turn."""
 
 
 class Spread:
@@ -64,7 +63,7 @@
         self.lease: Lease | None = None
         """The lease of the engines' orderer, as this host sees it."""
         self.recent_layers: dict[TargetId, tuple[float, LayerRange | None]] = {}
-        """What the orderer has just seen engines to hold."""
+        """The layers that each engine was last seen to hold, and when."""
         self._parts = parts
         self._home = DataCentre(parts.identity.data_centre)
         self.roster = Roster(
@@ -74,40 +73,40 @@
             parts.source,
             parts.identity.strength,
         )
-        self._orderer: LeaseNote | None = None
-        self._orderer_heard = float("-inf")
-        self._news = News(parts, self.roster.must_read, lambda: self._is_current)
-        self._told = Told()
-        take_digest: Callable[..., None] = self._take_digest
-        parts.network.register(LoadDigest, take_digest)
+        self._lease_note: LeaseNote | None = None
+        self._orderer_heard_at = float("-inf")
+        self._sync = StateSync(parts, self.roster.must_read, lambda: self._is_current)
+        self._sent = SendLog()
+        handle_digest: Callable[..., None] = self._handle_digest
+        parts.network.register(LoadDigest, handle_digest)
         parts.directory.registry.watch(self._note_change)
-        take_summary: Callable[..., None] = self._take_summary
-        parts.network.register(LoadSummary, take_summary)
-        self._crash_news = CrashNews(
+        handle_summary: Callable[..., None] = self._handle_summary
+        parts.network.register(LoadSummary, handle_summary)
+        self._crash_notes = CrashNoteExchange(
             parts.clock, parts.network, parts.crashes, self.roster
         )
 
     @property
     def hears_orderer(self) -> bool:
-        """Tell whether another host has lately said that it orders the engines."""
+        """Tell whether a lease note of the engines' orderer is recent."""
         now = self._parts.clock.monotonic()
-        return now - self._orderer_heard < ORDERER_SECONDS
+        return now - self._orderer_heard_at < ORDERER_TIMEOUT_SECONDS
 
     def look_at_outage(self) -> OutageView:
-        """Return what this host sees of an outage of the store."""
+        """Return this host's view of an outage of the store."""
         roster = self.roster
         lost = self._parts.targets.measure_outage() if roster.must_read() else 0.0
         return OutageView(
             HostId(self._parts.identity.host),
             lost,
-            roster.hears_any_reader(),
+            roster.hears_reader(),
             self.hears_orderer,
             roster.list_ages(),
         )
 
     @property
-    def _reads(self) -> bool:
-        """Tell whether this host follows the store, and the store answers."""
+    def _is_reader(self) -> bool:
+        """Tell whether this host reads the store, and the store answers."""
         parts = self._parts
         lost = (
             parts.configuration.dependency.is_lost or parts.targets.dependency.is_lost
@@ -116,108 +115,109 @@
 
     @property
     def _is_current(self) -> bool:
-        """Tell whether this host may tell others of the targets."""
+        """Tell whether this host may send its list of targets to others."""
         parts = self._parts
-        if self._reads:
+        if self._is_reader:
             return True
         revision = parts.directory.registry.revision
-        return parts.directory.is_complete and self.roster.hears_reader(revision)
+        return parts.directory.is_complete and self.roster.matches_reader(revision)
 
     @property
     def period(self) -> float:
-        """Return the seconds until the next tick: what is due soonest at this host."""
+        """Return the seconds until the next tick."""
         roster = self.roster
-        return TICK_SECONDS if roster.is_mesh or roster.is_relay else SUM_SECONDS
+        return TICK_SECONDS if roster.is_mesh or roster.is_relay else SUMMARY_SECONDS
 
     def greet(self) -> None:
-        """Tell the hosts that must know of this one: each, or its relays.
+        """Announce this host to its relays, or to all from a relay or in a full mesh.
 
-        A greeting to each would open a connection for each pair at a start of all.
+        When all hosts start, announcements to all would open a connection per pair.
         """
         digest = self._build_digest()
-        near = self.roster.choose_near(to_all=True)
-        for host in (*near, *self.roster.choose_far()):
+        local = self.roster.choose_local_recipients(to_all=True)
+        for host in (*local, *self.roster.choose_remote_recipients()):
             self._parts.network.send(host, digest)
 
     def tell_now(self) -> None:
-        """Tell the near hosts at once of what was found."""
+        """Send a digest to the hosts of this data centre out of turn, for a finding."""
         now = self._parts.clock.monotonic()
-        if now - self._told.at >= URGENT_SECONDS:
-            self._tell(self._build_digest(), to_all=False)
+        if now - self._sent.digest_at >= URGENT_DIGEST_SECONDS:
+            self._send_local(self._build_digest(), to_all=False)
 
     def tick(self) -> None:
-        """Send what is due."""
+        """Expire old state and send the messages that are due."""
         now = self._parts.clock.monotonic()
         roster = self.roster
         self._parts.loads.expire(now)
-        roster.forget()
-        self._crash_news.tick()
+        roster.expire()
+        self._crash_notes.tick()
         digest = self._build_digest()
-        to_all = self._told.is_past(now, "all", ALL_SECONDS)
+        to_all = self._sent.mark_if_due(now, "all", BROADCAST_SECONDS)
         if to_all or self._is_due(digest, now):
-            self._tell(digest, to_all)
+            self._send_local(digest, to_all)
         if not roster.is_mesh and roster.is_lead:
-            self._sum_up(now)
-        if roster.is_mesh or self._told.is_past(now, "far", FAR_SECONDS):
-            self._tell_far(digest)
+            self._send_summary(now)
+        if roster.is_mesh or self._sent.mark_if_due(now, "far", REMOTE_DIGEST_SECONDS):
+            self._send_remote(digest)
 
     def _is_due(self, digest: LoadDigest, now: float) -> bool:
-        """Tell whether the near hosts should get a digest now."""
-        waited = now - self._told.at
-        if self._told.digest is not None and is_like(digest, self._told.digest):
-            return waited >= QUIET_SECONDS and self.roster.is_lead
-        return self.roster.is_mesh or waited >= SUM_SECONDS - TICK_SECONDS
-
-    def _tell(self, digest: LoadDigest, to_all: bool) -> None:
-        """Send a digest to the near hosts; loads only to those that add them up."""
+        """Tell whether the hosts of this data centre should get a digest now."""
+        waited = now - self._sent.digest_at
+        if self._sent.digest is not None and is_same(digest, self._sent.digest):
+            return waited >= RESEND_SECONDS and self.roster.is_lead
+        return self.roster.is_mesh or waited >= SUMMARY_SECONDS - TICK_SECONDS
+
+    def _send_local(self, digest: LoadDigest, to_all: bool) -> None:
+        """Send a digest in this data centre; only hosts that sum loads get usages."""
         now = self._parts.clock.monotonic()
-        self._told.digest, self._told.at = digest, now
+        self._sent.digest, self._sent.digest_at = digest, now
         self._parts.loads.note_told()
-        hosts = self.roster.choose_near(to_all)
-        adding = hosts
+        hosts = self.roster.choose_local_recipients(to_all)
+        summing = hosts
         if not self.roster.is_mesh:
             relays = self.roster.relays
-            adding = [host for host in hosts if host in relays]
-        for host in adding:
+            summing = [host for host in hosts if host in relays]
+        for host in summing:
             self._parts.network.send(host, digest)
-        bare = replace(digest, usages=())
-        if to_all or not self._told.has_told_bare(bare, now):
+        stripped = replace(digest, usages=())
+        if to_all or not self._sent.has_sent_stripped(stripped, now):
             for host in hosts:
-                if host not in adding:
-                    self._parts.network.send(host, bare)
+                if host not in summing:
+                    self._parts.network.send(host, stripped)
 
-    def _tell_far(self, digest: LoadDigest) -> None:
-        hosts = self.roster.choose_far()
+    def _send_remote(self, digest: LoadDigest) -> None:
+        """Send a digest, and as the lead relay a summary, to other data centres."""
+        hosts = self.roster.choose_remote_recipients()
         messages: list[LoadDigest | LoadSummary] = [digest]
         if hosts and not self.roster.is_mesh:
             sums = {self._home: self._parts.loads.sum_home()}
-            bare = replace(digest, usages=(), readers=())
-            messages = [bare, self._build_summary(sums)]
+            stripped = replace(digest, usages=(), readers=())
+            messages = [stripped, self._build_summary(sums)]
         for host in hosts:
             for message in messages:
                 self._parts.network.send(host, message)
 
-    def _sum_up(self, now: float) -> None:
-        """Tell the hosts of this data centre what all of them hold together."""
-        if not self._told.is_past(now, "sum", SUM_SECONDS):
+    def _send_summary(self, now: float) -> None:
+        """Send the total usage of targets to the hosts of this data centre."""
+        if not self._sent.mark_if_due(now, "sum", SUMMARY_SECONDS):
             return
         loads = self._parts.loads
         sums: dict[DataCentre, Mapping[TargetId, Usage]]
         sums = {self._home: loads.sum_home()}
-        if self._told.is_past(now, "far sum", FAR_SUM_SECONDS):
+        if self._sent.mark_if_due(now, "far sum", REMOTE_SUMMARY_SECONDS):
             sums |= loads.show_sums()
         summary = self._build_summary(sums)
-        if self._told.is_past(now, "hosts", HOSTS_SECONDS):
-            hosts = tuple(sorted(self.roster.list_near()))
+        if self._sent.mark_if_due(now, "hosts", HOST_LIST_SECONDS):
+            hosts = tuple(sorted(self.roster.list_local()))
             summary = replace(summary, hosts=hosts)
-        for host in self.roster.list_near():
+        for host in self.roster.list_local():
             self._parts.network.send(host, summary)
 
     def _build_summary(
         self, sums: Mapping[DataCentre, Mapping[TargetId, Usage]]
     ) -> LoadSummary:
         usages = tuple(
-            CentreUsage(centre, _write_usages(held))
+            CentreUsage(centre, _encode_usages(held))
             for centre, held in sorted(sums.items())
         )
         roster = self.roster
@@ -226,7 +226,7 @@
     def _build_digest(self) -> LoadDigest:
         parts = self._parts
         now = parts.clock.monotonic()
-        lease = self._write_lease(now)
+        lease = self._build_lease_note(now)
         slow = tuple(
             SlowTarget(name, factor)
             for name, factor in sorted(parts.planner.slowness.items())
@@ -240,7 +240,7 @@
             self._home,
             parts.directory.version,
             parts.directory.registry.revision,
-            _write_usages(parts.loads.own),
+            _encode_usages(parts.loads.own),
             tuple(parts.directory.suspects.list_dead(now)),
             slow if lease else (),
             tuple(
@@ -255,66 +255,67 @@
             ),
             lease,
             self.leaving,
-            self._reads,
+            self._is_reader,
             self.roster.list_readers(),
             self._is_current,
             parts.identity.strength,
             parts.crashes.checksum,
         )
 
-    def _write_lease(self, now: float) -> LeaseNote | None:
-        """Return the lease that this host holds, or as a relay has heard of."""
+    def _build_lease_note(self, now: float) -> LeaseNote | None:
+        """Return the lease that this host holds, or that it forwards as a relay."""
         held = self.lease.show_row() if self.lease else None
         if held is not None:
             own = HostId(self._parts.identity.host)
             return LeaseNote(encode_lease(held[0]), held[1], own)
-        if self._orderer is None or not self.hears_orderer or not self.roster.is_relay:
+        if (
+            self._lease_note is None
+            or not self.hears_orderer
+            or not self.roster.is_relay
+        ):
             return None
-        return replace(self._orderer, age=round(now - self._orderer_heard, 2))
+        return replace(self._lease_note, age=round(now - self._orderer_heard_at, 2))
 
     def _note_change(self, change: Change, target: Target) -> None:
         if change is Change.GONE:
-            # One that starts again under its id holds nothing of what was seen.
+            # A target that restarts under its id no longer holds these layers.
             self.recent_layers.pop(target.id, None)
 
-    # Digests of others.
+    # Messages from other hosts.
 
-    def _take_digest(self, sender: HostId, digest: LoadDigest) -> None:
+    def _handle_digest(self, sender: HostId, digest: LoadDigest) -> None:
         parts = self._parts
         now = parts.clock.monotonic()
         is_new = self.roster.hear(sender, digest)
         if is_new or digest.version < parts.directory.version:
-            # A host that has just started is ready as soon as it knows whom to ask.
+            # A host that has just started needs a peer to fetch state from.
             parts.network.send(sender, self._build_digest())
-        usages = _read_usages(digest.usages)
+        usages = _decode_usages(digest.usages)
         parts.loads.hear(sender, digest.data_centre, usages, now)
-        self._check_dead(digest.dead, now)
+        self._probe_reported_dead(digest.dead, now)
         if digest.lease is not None:
-            self._take_orderer(digest.lease, digest, now)
-        elif self._orderer is not None and sender == self._orderer.holder:
+            self._update_orderer(digest.lease, digest, now)
+        elif self._lease_note is not None and sender == self._lease_note.holder:
             self._forget_orderer(now)
-        self._take_layers(digest.layers, now)
-        self._crash_news.compare(sender, digest.crashes)
-        self._news.ask(sender, digest, now)
+        self._update_layers(digest.layers, now)
+        self._crash_notes.resync_if_different(sender, digest.crashes)
+        self._sync.request_missing(sender, digest, now)
 
-    def _check_dead(self, names: tuple[TargetId, ...], now: float) -> None:
-        """Look at engines that a peer says are dead.
-
-        What a peer can't reach may well be alive: the peer may be cut off.
-        """
+    def _probe_reported_dead(self, names: tuple[TargetId, ...], now: float) -> None:
+        """Probe engines that a peer reports dead, as the peer itself may be cut off."""
         parts = self._parts
         for name in names:
             target = parts.directory.registry.targets.get(name)
             if target is None or parts.directory.suspects.is_out(name, now):
                 continue
-            if self._has_use(target):
+            if self._must_probe(target):
                 parts.probes.check_later(target)
 
-    def _has_use(self, target: Target) -> bool:
-        """Tell whether it matters to this host, or to those it tells, if one is dead.
+    def _must_probe(self, target: Target) -> bool:
+        """Tell whether this host, or one that it informs, may use a target.
 
-        Engines of other data centres get few requests, and only while those at home are
-        full, so that probes of them by each host could change nothing.
+        Engines of other data centres get few requests, only while the local ones are
+        full. Probes of them by every host would change nothing.
         """
         roster = self.roster
         return (
@@ -325,33 +326,33 @@
             or (self.lease is not None and self.lease.holds)
         )
 
-    def _take_summary(self, sender: HostId, summary: LoadSummary) -> None:
+    def _handle_summary(self, sender: HostId, summary: LoadSummary) -> None:
         now = self._parts.clock.monotonic()
-        self.roster.hear_summary(sender, summary)
+        self.roster.update_from_summary(sender, summary)
         for item in summary.usages:
-            usages = _read_usages(item.usages)
+            usages = _decode_usages(item.usages)
             self._parts.loads.hear_sum(item.data_centre, usages, now)
 
     def _forget_orderer(self, now: float) -> None:
-        """Learn that the host that ordered the engines does so no more."""
-        self._orderer_heard = float("-inf")
+        """Record that the orderer has given its lease up."""
+        self._orderer_heard_at = float("-inf")
         if self.lease is not None:
             self.lease.note_released(now)
 
-    def _take_orderer(self, note: LeaseNote, digest: LoadDigest, now: float) -> None:
-        """Take what the host that orders the engines knows and relays pass on."""
+    def _update_orderer(self, note: LeaseNote, digest: LoadDigest, now: float) -> None:
+        """Store the orderer's lease and slow engines, received directly or by relay."""
         parts = self._parts
         heard = now - note.age
-        known = self._orderer
+        known = self._lease_note
         if known is not None and note.version < known.version:
             return
-        if heard <= self._orderer_heard:
+        if heard <= self._orderer_heard_at:
             return
-        is_given_up = known is not None and not self.hears_orderer
-        if is_given_up and note.age > 0.0 and known and note.version == known.version:
-            # A relay that has not heard yet that its holder gave it up.
+        is_lapsed = known is not None and not self.hears_orderer
+        if is_lapsed and note.age > 0.0 and known and note.version == known.version:
+            # From a relay that does not yet know that the holder gave the lease up.
             return
-        self._orderer, self._orderer_heard = note, heard
+        self._lease_note, self._orderer_heard_at = note, heard
         if self.lease is not None and not self.lease.holds:
             try:
                 self.lease.see(Row(note.value, note.version), now)
@@ -361,8 +362,8 @@
         for slow in digest.slow:
             parts.planner.slowness[slow.target] = slow.factor
 
-    def _take_layers(self, layers: tuple[HeldLayers, ...], now: float) -> None:
-        """Take what engines were seen to hold, newer than what is known of them."""
+    def _update_layers(self, layers: tuple[HeldLayers, ...], now: float) -> None:
+        """Store newer observations of the layers that engines hold."""
         is_new = False
         for held in layers:
             at = now - held.age
@@ -370,7 +371,7 @@
             if 0 < held.born < registry.get_born(held.target):
                 continue
             known = self.recent_layers.get(held.target)
-            if known is not None and at <= known[0] + URGENT_SECONDS:
+            if known is not None and at <= known[0] + URGENT_DIGEST_SECONDS:
                 continue
             span = LayerRange(held.first, held.end) if held.end else None
             is_new = is_new or known is None or known[1] != span
@@ -380,11 +381,11 @@
             self.tell_now()
 
     def meet(self, record: HostRecord) -> None:
-        """Learn of a host from the store or the settings."""
+        """Add a host that the store or the settings name."""
         self.roster.meet(record)
 
 
-def _write_usages(held: Mapping[TargetId, Usage]) -> tuple[TargetUsage, ...]:
+def _encode_usages(held: Mapping[TargetId, Usage]) -> tuple[TargetUsage, ...]:
     return tuple(
         TargetUsage(name, usage.requests, usage.memory, usage.begun)
         for name, usage in sorted(held.items())
@@ -392,7 +393,7 @@
     )
 
 
-def _read_usages(usages: tuple[TargetUsage, ...]) -> dict[TargetId, Usage]:
+def _decode_usages(usages: tuple[TargetUsage, ...]) -> dict[TargetId, Usage]:
     return {
         item.target: Usage(item.requests, item.memory, item.begun) for item in usages
     }
--- a/marigoldswitch/tests/test_crashes.py
+++ b/marigoldswitch/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets which run them, on stand-ins."""
+"""Requests that crash the targets running them, on stand-in targets."""
 
 import asyncio
 
@@ -15,11 +15,11 @@
 )
 
 CRASHING = b"ends what runs it"
-MOST_ENDS = 3
+MAX_ENDS = 3
 
 
 async def send(site, number, host, body, path="/draft/1"):
-    """Return the status of a request and its body, as far as it came."""
+    """Return the status of a request and its body; ``None`` if that broke off."""
     async with site.call(path, number, host, data=body) as answer:
         try:
             return answer.status, await answer.read()
@@ -28,7 +28,7 @@
 
 
 async def add_crashing_engines(site, count):
-    """Add engines that end when they begin to run a body; return what ends them all."""
+    """Add engines that crash on certain bodies; return the set of these bodies."""
     crashing = {CRASHING}
     for index in range(count):
         engine = await site.add_engine(f"x{index}", "north", (0, 8))
@@ -47,7 +47,7 @@
             await add_crashing_engines(site, 8)
             for number in range(8):
                 await send(site, number, number % 2, CRASHING)
-            assert count_ends(site.engines.engines.values()) <= MOST_ENDS
+            assert count_ends(site.engines.engines.values()) <= MAX_ENDS
             status, body = await send(site, 9, 0, b"{}")
             assert (status, list_ids(body)) == (200, ALL_EVENTS)
 
@@ -64,7 +64,7 @@
             await site.wait(lambda: len(get_targets(site)) == 9)
             for number in range(3):
                 await send(site, number, 0, CRASHING)
-            assert 1 <= count_ends(site.engines.engines.values()) <= MOST_ENDS
+            assert 1 <= count_ends(site.engines.engines.values()) <= MAX_ENDS
             status, body = await send(site, 9, 0, b"{}")
             assert (status, list_ids(body)) == (200, ALL_EVENTS)
 
@@ -83,7 +83,7 @@
                 assert sum(item.runs[f"try-{number}"] for item in site.desks) <= 1
                 if status == 503:
                     assert not any(item.runs[f"try-{number}"] for item in site.desks)
-            assert 1 <= count_ends(site.desks) <= MOST_ENDS
+            assert 1 <= count_ends(site.desks) <= MAX_ENDS
             assert (await send(site, 9, 0, b"{}", "/once/1"))[0] == 200
 
     run(scenario())
@@ -105,7 +105,7 @@
     run(scenario())
 
 
-def test_request_whose_connections_are_reset_by_live_engines_is_not_held_off():
+def test_request_whose_connections_are_reset_by_live_engines_is_not_held():
     async def scenario():
         async with run_site(hosts=1) as site:
             engines = [
@@ -160,11 +160,14 @@
     run(scenario())
 
 
-def test_request_costs_no_fingerprint_while_no_target_has_ended(monkeypatch):
-    """Before: none at all. Working one out takes 2 us for a body of 2 KB, 0.7 ms for 1
-    MB; a look-up among 512 requests takes 0.1 us."""
-    worked_out = []
-    monkeypatch.setattr(exchanges, "fingerprint_request", worked_out.append)
+def test_no_fingerprint_is_computed_while_no_target_has_ended(monkeypatch):
+    """Fingerprints are not computed before they are needed.
+
+    One takes 2 us for a body of 2 KB and 0.7 ms for 1 MB. A look-up among 512 requests
+    takes 0.1 us.
+    """
+    computed = []
+    monkeypatch.setattr(exchanges, "fingerprint_request", computed.append)
 
     async def scenario():
         async with run_site(hosts=1, desks=1) as site:
@@ -172,12 +175,12 @@
             await site.wait(lambda: len(get_targets(site)) == 2)
             for number, path in enumerate(("/draft/1", "/once/1", "/look/1")):
                 assert (await send(site, number, 0, b"{}", path))[0] == 200
-            assert not worked_out
+            assert not computed
 
     run(scenario())
 
 
-def test_repeats_of_streams_stay_in_the_budget_when_engine_after_engine_ends():
+def test_retries_of_streams_stay_in_the_budget_when_engine_after_engine_ends():
     async def scenario():
         async with run_site(hosts=1) as site:
             for index in range(6):
@@ -186,22 +189,22 @@
             await site.wait(lambda: len(get_targets(site)) == 6)
             allowance, window, streams = 1.0, 10.0, 12
             site.hosts[0].parts.runs.retries.use_terms(allowance, 0.0)
-            works = [
+            tasks = [
                 asyncio.create_task(send(site, number, 0, b"%d" % number))
                 for number in range(streams)
             ]
             for ends in range(1, 6):
                 await site.wait(
                     lambda: (
-                        all(work.done() for work in works)
-                        or any(_has_streams(item) for item in _list_live(site))
+                        all(work.done() for work in tasks)
+                        or any(_has_streams(item) for item in _list_live_engines(site))
                     )
                 )
                 await asyncio.sleep(0.05)
-                busiest = max(_list_live(site), key=lambda item: len(item._own))
+                busiest = max(_list_live_engines(site), key=lambda item: len(item._own))
                 await busiest.stop()
-                assert len(_list_live(site)) == 6 - ends
-            await asyncio.gather(*works)
+                assert len(_list_live_engines(site)) == 6 - ends
+            await asyncio.gather(*tasks)
             runs = sum(
                 sum(item.runs.values()) for item in site.engines.engines.values()
             )
@@ -210,7 +213,7 @@
     run(scenario())
 
 
-def _list_live(site):
+def _list_live_engines(site):
     return [item for item in site.engines.engines.values() if item.alive]
 
 
