--- a/marigoldswitch/core/gateway_messages.py
+++ b/marigoldswitch/core/gateway_messages.py
@@ -1,7 +1,7 @@
-"""What the hosts of a gateway tell each other.
+"""Messages between the hosts of a gateway.
 
-Apart from the messages of the dispatchers, so that a gateway's host loads only these
-when it starts.
+They are in a module apart from the dispatchers' messages, so that a gateway's host does
+not import those when it starts.
 """
 
 from dataclasses import dataclass
@@ -18,10 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetUsage:
-    """What one host's requests take of a target.
+    """Usage of one target by the requests of a host or of a whole data centre.
 
-    :param memory: of its KV cache that is reserved for them, in tokens times layers.
-    :param begun: requests among these whose chain begins there.
+    :param requests: number of requests.
+    :param memory: KV cache reserved for them, in tokens times layers.
+    :param begun: how many of the requests have their chain's first stage there.
     """
 
     target: TargetId
@@ -32,9 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowTarget:
-    """An engine that takes longer than usual.
+    """An engine that is slower than usual.
 
-    :param factor: its time for a step over the usual one.
+    :param factor: its time for a step divided by the usual time.
     """
 
     target: TargetId
@@ -43,10 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldLayers:
-    """What an engine has lately been seen to hold; ``end`` is 0 where it is nothing.
+    """Layers that an engine was recently observed to hold.
 
-    :param age: seconds since it was seen.
-    :param born: when the engine started, in ms since 1970; 0 where it is not known.
+    :param first: index of the first layer.
+    :param end: index after the last layer; 0 if the engine holds none.
+    :param age: seconds since the observation.
+    :param born: when the engine started, in ms since 1970; 0 if unknown.
     """
 
     target: TargetId
@@ -58,12 +61,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseNote:
-    """The lease of the engines' orderer as its holder has last written it.
+    """The lease of the engines' orderer, as last written by its holder.
 
-    :param value: the row's value.
-    :param version: the row's version.
-    :param holder: the host that holds it.
-    :param age: seconds since the holder said so.
+    :param value: value of the lease's row.
+    :param version: revision of the row.
+    :param holder: host that holds the lease.
+    :param age: seconds since the holder sent this; above 0 if passed on by a relay.
     """
 
     value: bytes
@@ -74,21 +77,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadDigest:
-    """What a gateway's host tells the others every so often.
-
-    :param version: of the configuration that it has in force.
-    :param revision: up to which it knows the targets.
-    :param usages: what it holds of targets, for those that add it up.
-    :param dead: targets that it has found dead just now.
-    :param slow: what the orderer knows of slow engines.
-    :param lease: the lease of the engines' orderer, told by the host that holds it and
-        by relays.
-    :param leaving: it is shutting down.
-    :param reads: it follows the store by itself, and the store answers.
-    :param readers: hosts of its data centre that have told it so of themselves.
-    :param current: it reads, or knows no less of the targets than one that does.
-    :param strength: of its link, by which hosts choose who relays and reads for them.
-    :param crashes: checksum of what it knows of requests that end targets.
+    """State that a gateway's host sends to other hosts periodically.
+
+    :param data_centre: data centre of the sender.
+    :param version: version of the configuration in force at the sender.
+    :param revision: revision up to which the sender knows the targets.
+    :param usages: usage by the sender's requests, for the hosts that sum it up.
+    :param dead: targets that the sender has recently found dead.
+    :param slow: slow engines, sent by the holder of the orderer's lease and by relays.
+    :param layers: layers that the orderer has recently seen engines hold.
+    :param lease: the lease of the engines' orderer, sent by its holder and by relays.
+    :param leaving: whether the sender is shutting down.
+    :param reads: whether the sender reads the store itself, and the store answers.
+    :param readers: hosts of its data centre that have reported ``reads`` to the sender.
+    :param current: whether the sender reads the store, or knows the targets up to the
+        revision of a host that does.
+    :param strength: strength of the sender's link, by which relays and readers are
+        ranked.
+    :param crashes: checksum of what the sender knows of requests that end targets.
     """
 
     data_centre: DataCentre
@@ -109,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CentreUsage:
-    """What all hosts of a data centre hold of targets together."""
+    """Total usage of targets by all hosts of a data centre."""
 
     data_centre: DataCentre
     usages: tuple[TargetUsage, ...]
@@ -117,11 +123,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSummary:
-    """What a relay tells the hosts of its data centre and the relays of others.
+    """Totals that a relay sends to its data centre and to relays of others.
 
-    :param near: live hosts of its data centre.
-    :param live: live hosts that it knows of in all.
-    :param hosts: those of its data centre, told now and then.
+    :param usages: usage by data centre.
+    :param near: number of live hosts in the relay's data centre.
+    :param live: number of live hosts in all data centres, as known to the relay.
+    :param hosts: the hosts of its data centre; sent only in some summaries, else empty.
     """
 
     usages: tuple[CentreUsage, ...]
@@ -132,14 +139,20 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchConfiguration:
-    """A gateway's host asks for a configuration newer than its own."""
+    """Request for a configuration newer than the sender's.
+
+    :param version: version that the sender has in force; 0 if none.
+    """
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationContent:
-    """A configuration as the platform holds it."""
+    """Answer to ``FetchConfiguration``: a configuration as stored by the platform.
+
+    :param content: the configuration's bytes, compressed with zlib.
+    """
 
     version: int
     content: bytes
@@ -147,18 +160,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchTargets:
-    """A gateway's host asks for the targets, as it can't read them itself."""
+    """Request for the targets, from a host that doesn't get them from the store.
+
+    :param revision: revision up to which the sender knows the targets.
+    """
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class TargetNote:
-    """A target's row.
+    """A target's row, as sent between hosts.
 
-    :param revision: version of the row.
-    :param layers: first layer held and the one after the last; empty for none.
-    :param born: when the target started, in ms since 1970; 0 where it is not known.
+    :param leaving: whether the target has announced that it is shutting down.
+    :param revision: revision of the row.
+    :param layers: index of the first layer and that after the last; empty if none.
+    :param born: when the target started, in ms since 1970; 0 if unknown.
     """
 
     target: TargetId
@@ -175,11 +192,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetsContent:
-    """The targets that a host knows, up to a revision.
+    """Answer to ``FetchTargets``: the targets known to a host.
 
-    :param targets: those that have changed since the revision that was asked for.
-    :param names: all of them.
-    :param lapsed: those whose rows are gone and may come back.
+    :param revision: revision up to which the host knows the targets.
+    :param targets: targets whose rows are newer than the requested revision.
+    :param names: ids of all known targets.
+    :param lapsed: targets whose rows are missing and within the grace period.
     """
 
     revision: int
@@ -190,11 +208,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndNote:
-    """The end of a target under a request.
+    """An end of a target while it ran a request.
 
-    :param born: when the target had started, in ms since 1970; 0 where not known.
-    :param age: seconds since it ended.
-    :param blame: of the request for it, in hundredths.
+    :param born: when the target had started, in ms since 1970; 0 if unknown.
+    :param age: seconds since the end.
+    :param blame: share of the blame that the request bears, in hundredths.
     """
 
     target: TargetId
@@ -205,10 +223,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashNote:
-    """What is known of one request that ran at the end of targets.
+    """What a host knows of one request that was running when targets ended.
 
-    :param held: seconds for which it has been held off; below 0 where it is not.
-    :param cleared: seconds since it last ran to its end; below 0 where it has not.
+    :param account: client account of the request, if known.
+    :param ends: the ends of targets during the request.
+    :param held: seconds since the last end for which the request was held off; negative
+        if it is not held off.
+    :param cleared: seconds since the request last completed; negative if it never has.
     """
 
     fingerprint: Fingerprint
@@ -220,7 +241,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashNotes:
-    """What a host knows of requests that end targets."""
+    """Records of requests that end targets."""
 
     notes: tuple[CrashNote, ...]
 
--- a/marigoldswitch/core/loads.py
+++ b/marigoldswitch/core/loads.py
@@ -1,9 +1,9 @@
-"""What each target holds, from this host's own counts and those that peers tell.
+"""Load of each target, from this host's own counts and the reports of its peers.
 
-Load it answers: several hosts that send to the same engines. Each sees only its own
-requests; an engine's own report is hundreds of milliseconds old, in which a dozen
-requests arrive. Hosts of one data centre therefore tell each other what they hold, or,
-where they are many, tell a relay, which tells them what all of them hold together.
+Several hosts send to the same engines, and each sees only its own requests. An
+engine's own report is hundreds of milliseconds old, in which a dozen requests arrive.
+The hosts of a data centre therefore report their usage to each other or, where they are
+many, to a relay, which sends the total of all of them back.
 """
 
 from collections.abc import Mapping
@@ -12,18 +12,18 @@
 from marigoldswitch.core.ids import DataCentre, HostId, TargetId
 
 STALE_SECONDS = 2.0
-"""A peer that has said nothing for this long is left out: its requests have ended or
-moved by then, as streams take 1 to 7 s and hosts tell of theirs every 0.1 to 1 s."""
+"""Age after which a peer's report is dropped: its requests have ended or moved by then,
+as streams take 1 to 7 s and hosts report every 0.1 to 1 s."""
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What some requests take of one target.
+    """Resources of one target that a group of requests uses.
 
     :param requests: number of requests.
-    :param memory: what is reserved for them of its KV cache: tokens of context times
-        the layers that each of them runs there.
-    :param begun: the requests among these whose chain begins there.
+    :param memory: KV cache reserved for them, in tokens of context times the layers
+        that each request runs on the target.
+    :param begun: how many of the requests have their chain's first stage there.
     """
 
     requests: int = 0
@@ -31,7 +31,7 @@
     begun: int = 0
 
     def plus(self, other: "Usage") -> "Usage":
-        """Return both together."""
+        """Return the sum of both."""
         return Usage(
             self.requests + other.requests,
             self.memory + other.memory,
@@ -39,7 +39,7 @@
         )
 
     def minus(self, other: "Usage") -> "Usage":
-        """Return what is left without ``other``."""
+        """Return the difference, which may be negative."""
         return Usage(
             self.requests - other.requests,
             self.memory - other.memory,
@@ -51,60 +51,70 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
-    """What a peer holds, or all hosts of a data centre together."""
+class _UsageReport:
+    """Usage reported by a peer, or by a relay for all hosts of a data centre.
 
-    heard: float
+    :param received_at: monotonic time of arrival, in seconds.
+    """
+
+    received_at: float
     data_centre: DataCentre
     usages: Mapping[TargetId, Usage]
 
 
 class Loads:
-    """Usage of each target.
+    """Usage of each target by this host and all others.
 
     :param home: data centre of this host.
+    :ivar own: usage by requests of this host.
     """
 
     def __init__(self, home: DataCentre) -> None:
         self.own: dict[TargetId, Usage] = {}
         self._home = home
-        self._told: dict[TargetId, Usage] = {}
-        """What this host held when it last told the others."""
-        self._peers: dict[HostId, _Told] = {}
-        self._sums: dict[DataCentre, _Told] = {}
-        self._foreign: dict[TargetId, Usage] | None = None
-        """What all others hold; ``None`` while it is not added up. Added up when it is
-        asked for, not with each word of a peer: a relay of thirty hosts hears 150 a
-        second and looks for a few chains, and spent an eighth of its time on sums."""
-        self._fresh: dict[TargetId, int] = {}
+        self._last_reported: dict[TargetId, Usage] = {}
+        """Usage that this host last reported to its peers."""
+        self._peer_reports: dict[HostId, _UsageReport] = {}
+        self._centre_reports: dict[DataCentre, _UsageReport] = {}
+        self._others_total: dict[TargetId, Usage] | None = None
+        """Cached usage by all other hosts; ``None`` if it must be summed again. It is
+        summed on demand instead of with each report: a relay of thirty hosts receives
+        150 reports a second but chooses few chains, and spent an eighth of its time on
+        sums."""
+        self._unreported_memory: dict[TargetId, int] = {}
 
     def get(self, target: TargetId) -> Usage:
-        """Return what all known requests take of a target."""
+        """Return the usage of a target by the requests of all known hosts."""
         own = self.own.get(target, NOTHING)
-        if self._foreign is None:
-            self._foreign = self._add_up()
-        foreign = self._foreign.get(target)
-        return own.plus(foreign) if foreign is not None else own
+        if self._others_total is None:
+            self._others_total = self._sum_others()
+        others = self._others_total.get(target)
+        return own.plus(others) if others is not None else own
 
     def hold(self, target: TargetId, usage: Usage) -> None:
-        """Count a request of this host at a target."""
+        """Add the usage of a request that this host starts on a target."""
         self.own[target] = self.own.get(target, NOTHING).plus(usage)
-        self._fresh[target] = self._fresh.get(target, 0) + usage.memory
+        self._unreported_memory[target] = (
+            self._unreported_memory.get(target, 0) + usage.memory
+        )
 
     def count_fresh(self, target: TargetId) -> int:
-        """Return the memory that this host has taken since it last told its peers.
+        """Return the memory reserved on a target since the last report to the peers.
 
-        What it has done since, each of them has probably done as well.
+        Each peer has probably reserved about as much that it has not reported yet.
         """
-        return self._fresh.get(target, 0)
+        return self._unreported_memory.get(target, 0)
 
     def note_told(self) -> None:
-        """Learn that the peers have been told of all that is held."""
-        self._fresh.clear()
-        self._told = dict(self.own)
+        """Record that the current usage was reported to the peers."""
+        self._unreported_memory.clear()
+        self._last_reported = dict(self.own)
 
     def release(self, target: TargetId, usage: Usage) -> None:
-        """Count a request of this host as ended."""
+        """Remove the usage of a request of this host that has ended.
+
+        :raises AssertionError: if more requests are released than were held.
+        """
         left = self.own[target].minus(usage)
         assert left.requests >= 0, "released more than was held"
         if left.requests:
@@ -119,66 +129,80 @@
         usages: Mapping[TargetId, Usage],
         now: float,
     ) -> None:
-        """Take what a peer holds, in place of what it held before."""
-        self._peers[peer] = _Told(now, centre, usages)
-        self._foreign = None
+        """Replace the reported usage of a peer.
+
+        :param now: monotonic time, in seconds.
+        """
+        self._peer_reports[peer] = _UsageReport(now, centre, usages)
+        self._others_total = None
 
     def hear_sum(
         self, centre: DataCentre, usages: Mapping[TargetId, Usage], now: float
     ) -> None:
-        """Take what all hosts of a data centre hold together, as a relay tells it.
+        """Replace the total usage of a data centre, as reported by its relay.
 
-        It stands in place of what its hosts have told by themselves.
+        It takes precedence over the reports of that data centre's single hosts.
         """
-        self._sums[centre] = _Told(now, centre, usages)
-        self._foreign = None
+        self._centre_reports[centre] = _UsageReport(now, centre, usages)
+        self._others_total = None
 
     def sum_home(self) -> dict[TargetId, Usage]:
-        """Return what the hosts of this data centre hold, by their own words."""
+        """Return the total usage of this data centre, from its hosts' own reports."""
         total = dict(self.own)
-        for told in self._peers.values():
-            if told.data_centre == self._home:
-                _add(total, told.usages)
+        for report in self._peer_reports.values():
+            if report.data_centre == self._home:
+                _add(total, report.usages)
         return total
 
     def show_sums(self) -> dict[DataCentre, Mapping[TargetId, Usage]]:
-        """Return what the other data centres hold, each as far as it is known."""
+        """Return the known usage of each other data centre.
+
+        It is the relay's total if there is one, else the sum of its hosts' reports.
+        """
         sums = {
-            centre: told.usages
-            for centre, told in self._sums.items()
+            centre: report.usages
+            for centre, report in self._centre_reports.items()
             if centre != self._home
         }
         direct: dict[DataCentre, dict[TargetId, Usage]] = {}
-        for told in self._peers.values():
-            if told.data_centre not in (*sums, self._home):
-                _add(direct.setdefault(told.data_centre, {}), told.usages)
+        for report in self._peer_reports.values():
+            if report.data_centre not in (*sums, self._home):
+                _add(direct.setdefault(report.data_centre, {}), report.usages)
         return sums | direct
 
     def expire(self, now: float) -> None:
-        """Forget what was told too long ago."""
-        old = [peer for peer, told in self._peers.items() if _is_stale(told, now)]
-        past = [centre for centre, told in self._sums.items() if _is_stale(told, now)]
-        for peer in old:
-            del self._peers[peer]
-        for centre in past:
-            del self._sums[centre]
-        if old or past:
-            self._foreign = None
-
-    def _add_up(self) -> dict[TargetId, Usage]:
-        """Return what all others hold."""
+        """Drop reports older than ``STALE_SECONDS``."""
+        stale_peers = [
+            peer
+            for peer, report in self._peer_reports.items()
+            if _is_stale(report, now)
+        ]
+        stale_centres = [
+            centre
+            for centre, report in self._centre_reports.items()
+            if _is_stale(report, now)
+        ]
+        for peer in stale_peers:
+            del self._peer_reports[peer]
+        for centre in stale_centres:
+            del self._centre_reports[centre]
+        if stale_peers or stale_centres:
+            self._others_total = None
+
+    def _sum_others(self) -> dict[TargetId, Usage]:
+        """Return the usage of each target by all other hosts."""
         total: dict[TargetId, Usage] = {}
-        for told in self._peers.values():
-            if told.data_centre not in self._sums:
-                _add(total, told.usages)
-        for centre, told in self._sums.items():
-            own = self._told if centre == self._home else {}
-            _add(total, _leave_out(told.usages, own))
+        for report in self._peer_reports.values():
+            if report.data_centre not in self._centre_reports:
+                _add(total, report.usages)
+        for centre, report in self._centre_reports.items():
+            own = self._last_reported if centre == self._home else {}
+            _add(total, _subtract_own(report.usages, own))
         return total
 
 
-def _is_stale(told: _Told, now: float) -> bool:
-    return now - told.heard > STALE_SECONDS
+def _is_stale(report: _UsageReport, now: float) -> bool:
+    return now - report.received_at > STALE_SECONDS
 
 
 def _add(total: dict[TargetId, Usage], usages: Mapping[TargetId, Usage]) -> None:
@@ -186,13 +210,13 @@
         total[target] = total.get(target, NOTHING).plus(usage)
 
 
-def _leave_out(
+def _subtract_own(
     usages: Mapping[TargetId, Usage], own: Mapping[TargetId, Usage]
 ) -> dict[TargetId, Usage]:
-    """Return a sum without this host's part.
+    """Return a total without this host's part, at least 0 in each field.
 
-    The sum may be older than what this host has told since: a part that is larger than
-    the sum leaves nothing.
+    The total may be older than the part that this host has reported since, so the part
+    may be the larger one.
     """
     left: dict[TargetId, Usage] = {}
     for target, usage in usages.items():
--- a/marigoldswitch/core/registry.py
+++ b/marigoldswitch/core/registry.py
@@ -1,8 +1,9 @@
-"""Which targets there are, from a feed of rows that lags and is at times cut off.
+"""Registry of the known targets, fed from the rows of the store.
 
-Load it answers: a store outage. Entries lapse while the store is away although their
-targets live; were they dropped at once, its return would empty the pools. They are kept
-for a moment after the feed is back and dropped if they have not come back by then.
+The feed lags and is interrupted at times. During a store outage, entries expire in the
+store although their targets are alive; dropping them at once would empty the pools when
+the store returns. Such entries are kept for a grace period after the feed is back and
+dropped if they have not reappeared by then.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -14,41 +15,41 @@
 from marigoldswitch.core.revisions import get_era
 
 RETURN_SECONDS = 1.3
-"""How long an entry that lapsed during an outage may take to come back: targets write
-theirs within 2 s of the store's return, counted here from the first look that saw it
-gone; a leaving target may still get work for 2 s, so this stays below."""
-COPY_RETURN_SECONDS = 2.2
-"""The same where the store has come back from an older copy: targets write theirs again
-as after an outage, and the first look may come at once."""
-OUTAGE_SECONDS = 3.0
-"""A feed that was cut off this short a time ago may still tell of lapses."""
+"""Grace period for an entry that lapsed during an outage. Targets rewrite their entries
+within 2 s of the store's return; the period starts at the first read that misses the
+entry. It stays below 2 s, the time for which a leaving target may still get work."""
+RESTORE_GRACE_SECONDS = 2.2
+"""Grace period after the store was restored from an older copy. Targets rewrite their
+entries as after an outage, but the first read may come immediately."""
+RECENT_OUTAGE_SECONDS = 3.0
+"""Time after a feed failure in which removed rows are treated as lapsed."""
 
 
 ENDING_SECONDS = 0.75
-"""Time after which work in flight is moved away from a leaving target: it serves for
-2 s and little longer, half of the streams through it end before by themselves, and the
-others need some time to move one after the other."""
+"""Time after which work in flight is moved away from a leaving target. The target
+serves for little more than 2 s; half of its streams end by themselves within this
+delay, and the others need the rest to move one after the other."""
 
 
 class Change(Enum):
-    """What happened to a target."""
+    """Kind of change to a target, as passed to listeners."""
 
     ADDED = "added"
     UPDATED = "updated"
     LEAVING = "leaving"
     GONE = "gone"
     NOT_TAKEN_BACK = "not_taken_back"
-    """Its row is there again, from a copy of the store, after it has left or ended."""
+    """A restored store shows the row of a target that has left or ended; ignored."""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetRow:
-    """A target as its row in the store has it.
+    """A target as described by its row in the store.
 
-    :param leaving: it has said that it is shutting down.
-    :param revision: version of the row; the higher one is newer.
-    :param born: when the target started, in ms since 1970; 0 where it does not say. One
-        that starts again under its id holds nothing of what it held before.
+    :param leaving: whether the target has announced that it is shutting down.
+    :param revision: revision of the row; a higher one is newer.
+    :param born: when the target started, in ms since 1970; 0 if unknown. A target that
+        restarts under the same id has lost everything that it held.
     """
 
     target: Target
@@ -59,64 +60,64 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreRestored:
-    """The store has come back from an older copy.
+    """Event: the store was restored from an older copy.
 
-    :param revision: its newest place when that was seen.
-    :param before: the newest place known until then.
+    :param revision: newest revision of the store when the restore was detected.
+    :param before: newest revision known until then.
     """
 
     revision: int
     before: int
 
 
-MOST_GONE = 1000
-"""Dropped targets that are remembered, far more than end within the age of a copy."""
+MAX_DROPPED = 1000
+"""Dropped targets to remember, far more than can end within the age of a copy."""
 
 Listener = Callable[[Change, Target], None]
 
 
 class TargetRegistry:
-    """The targets by id, with who is leaving."""
+    """The known targets by id, and which of them are leaving."""
 
     def __init__(self) -> None:
         self.targets: dict[TargetId, Target] = {}
-        """Those that may get new work."""
+        """Targets that may get new work."""
         self.revision = 0
-        """Version of the newest row seen."""
+        """Revision up to which the targets are known."""
         self._rows: dict[TargetId, TargetRow] = {}
         self._by_address: dict[str, TargetId] = {}
         self._lapsed: dict[TargetId, float] = {}
         self._leaving: dict[TargetId, float] = {}
-        """When each leaving target was seen to leave."""
+        """When each leaving target was first seen leaving."""
         self.knows_service: Callable[[ServiceName], bool] = lambda _: True
-        """Tells whether the configuration names a service."""
-        self._broken_at: float | None = None
-        self._era_begin = 0
-        """Revision up to which rows may be from the copy that the store last came back
-        from; 0 while it never has."""
-        self._gone: dict[TargetId, _Gone] = {}
-        """Targets that were dropped, the latest ones."""
+        """Returns whether the configuration has a service of this name."""
+        self._feed_failed_at: float | None = None
+        self._restored_revision = 0
+        """Newest revision at the last restore: rows up to it may be from the copy; 0 if
+        the store was never restored."""
+        self._dropped: dict[TargetId, _DroppedTarget] = {}
+        """The most recently dropped targets, oldest first."""
         self._listeners: list[Listener] = []
-        self._era_at = float("-inf")
-        """When the store was seen to have come back from a copy."""
-        self._era_listeners: list[Callable[[StoreRestored], None]] = []
+        self._restored_at = float("-inf")
+        """When the last restore of the store was detected."""
+        self._restore_listeners: list[Callable[[StoreRestored], None]] = []
 
     def watch(self, listener: Listener) -> None:
         """Call ``listener`` after each change of a target."""
         self._listeners.append(listener)
 
     def watch_eras(self, listener: Callable[[StoreRestored], None]) -> None:
-        """Call ``listener`` each time the store has come back from an older copy."""
-        self._era_listeners.append(listener)
+        """Call ``listener`` each time the store was restored from an older copy."""
+        self._restore_listeners.append(listener)
 
     @property
     def rows(self) -> Mapping[TargetId, TargetRow]:
-        """Return all rows, leaving targets among them."""
+        """Return all rows, including those of leaving targets."""
         return self._rows
 
     @property
     def lapsed(self) -> tuple[TargetId, ...]:
-        """Return the targets whose rows are gone and may come back."""
+        """Return the targets whose rows are missing and within the grace period."""
         return tuple(self._lapsed)
 
     def list_targets(self, service: ServiceName) -> list[Target]:
@@ -124,7 +125,7 @@
         return [item for item in self.targets.values() if item.service == service]
 
     def list_leaving(self, service: ServiceName, since: float) -> list[Target]:
-        """Return the targets of a service that were seen to leave after a moment."""
+        """Return the targets of a service that began to leave after ``since``."""
         return [
             row.target
             for name, row in self._rows.items()
@@ -133,15 +134,18 @@
         ]
 
     def is_ending(self, name: TargetId, now: float) -> bool:
-        """Tell whether a target is gone, or has been leaving for a while."""
+        """Tell whether work in flight must move away from a target.
+
+        True if the target is unknown or has been leaving for ``ENDING_SECONDS``.
+        """
         if name not in self._rows:
             return True
         since = self._leaving.get(name)
         return since is not None and now - since >= ENDING_SECONDS
 
     def note_outage(self, now: float) -> None:
-        """Learn that the feed was cut off just now."""
-        self._broken_at = now
+        """Record that the feed failed at ``now``."""
+        self._feed_failed_at = now
 
     def replace_all(
         self,
@@ -150,13 +154,13 @@
         now: float,
         settled: bool = False,
     ) -> None:
-        """Take a whole list of rows; those that it lacks have been removed.
+        """Replace all rows by a complete list; rows missing from it count as removed.
 
-        :param settled: the list is that of a host whose feed is not cut off, so that
-            what it lacks is gone.
+        :param settled: whether the list comes from a host with a working feed, so that
+            missing targets are dropped without a grace period.
         """
         if get_era(revision) > get_era(self.revision) and self.revision:
-            self._begin_era(revision, now)
+            self._note_restore(revision, now)
         names = set()
         for row in rows:
             names.add(row.target.id)
@@ -170,97 +174,100 @@
         self.revision = max(self.revision, revision)
 
     def put(self, row: TargetRow, now: float) -> None:
-        """Take a row; an older one than that known changes nothing."""
+        """Add or update a target from a row; an outdated row is ignored."""
         name = row.target.id
         known = self._rows.get(name)
         if known is not None and _is_older(row, known):
             return
-        if self._era_begin:
-            fresh = self._doubt(row, known)
-            if fresh is None:
+        if self._restored_revision:
+            reconciled = self._reconcile(row, known)
+            if reconciled is None:
                 return
-            row = fresh
+            row = reconciled
         if known is not None and row.born > known.born > 0:
             self._drop(name)
             known = None
         self._lapsed.pop(name, None)
-        self._gone.pop(name, None)
+        self._dropped.pop(name, None)
         self.revision = max(self.revision, row.revision)
         self._rows[name] = row
         if self.knows_service(row.target.service):
-            # Others name no target to use, nor do they take the address of one.
+            # A target of an unknown service must not displace one at its address.
             self._replace_predecessor(row)
             self._by_address[row.target.address] = name
         if row.leaving:
             self._leaving.setdefault(name, now)
             if self.targets.pop(name, None) is not None or known is None:
-                self._tell(Change.LEAVING, row.target)
+                self._notify(Change.LEAVING, row.target)
             return
         changed = self.targets.get(name) != row.target
         self.targets[name] = row.target
         if known is None:
-            self._tell(Change.ADDED, row.target)
+            self._notify(Change.ADDED, row.target)
         elif changed:
-            self._tell(Change.UPDATED, row.target)
+            self._notify(Change.UPDATED, row.target)
 
-    def _begin_era(self, revision: int, now: float) -> None:
-        """Learn that the store has come back from an older copy.
+    def _note_restore(self, revision: int, now: float) -> None:
+        """Record that the store was restored from an older copy.
 
-        What it lacks may be written again in a moment, so that it lapses only.
+        Rows missing from the copy may soon be rewritten, so their targets lapse instead
+        of being dropped.
         """
         restored = StoreRestored(revision, self.revision)
-        self._era_begin, self._era_at = revision, now
-        self._broken_at = now
-        for listener in self._era_listeners:
+        self._restored_revision, self._restored_at = revision, now
+        self._feed_failed_at = now
+        for listener in self._restore_listeners:
             listener(restored)
 
-    def _doubt(self, row: TargetRow, known: TargetRow | None) -> TargetRow | None:
-        """Return what to believe of a row after the store came back from a copy.
+    def _reconcile(self, row: TargetRow, known: TargetRow | None) -> TargetRow | None:
+        """Merge a row with what is known, after the store was restored from a copy.
 
-        Rows of the copy say less than what is known: a target that has left, or ended,
-        since the copy was made does not come back by its old row, and what a live one
-        holds stands until it has written again.
+        Rows from the copy are outdated: they don't revive a target that has left or
+        ended since the copy was made, and what is known of a live target stands until
+        the target rewrites its row.
+
+        :return: the row to store, or ``None`` to ignore the row.
         """
         name = row.target.id
-        is_copied = row.revision <= self._era_begin
+        is_from_copy = row.revision <= self._restored_revision
         if known is None:
-            gone = self._gone.get(name)
-            if gone is None or row.born > gone.born > 0:
-                return None if is_copied and self._is_taken(row) else row
-            if is_copied or gone.was_leaving:
-                self._tell(Change.NOT_TAKEN_BACK, row.target)
+            dropped = self._dropped.get(name)
+            if dropped is None or row.born > dropped.born > 0:
+                return None if is_from_copy and self._is_address_taken(row) else row
+            if is_from_copy or dropped.was_leaving:
+                self._notify(Change.NOT_TAKEN_BACK, row.target)
                 return None
             return row
         if row.born > known.born > 0:
             return row
         leaving = known.leaving or row.leaving
-        if is_copied:
+        if is_from_copy:
             return replace(known, revision=row.revision, leaving=leaving)
         return replace(row, leaving=leaving)
 
-    def _is_taken(self, row: TargetRow) -> bool:
-        """Tell whether another target is known at the address of a row."""
+    def _is_address_taken(self, row: TargetRow) -> bool:
+        """Tell whether another target is known at the row's address."""
         return self._by_address.get(row.target.address, row.target.id) != row.target.id
 
     def remove(self, name: TargetId, now: float) -> None:
-        """Take the removal of a row."""
+        """Handle a removed row: drop its target, or let it lapse during an outage."""
         if name not in self._rows or name in self._lapsed:
             return
-        broken = self._broken_at
-        if broken is not None and now - broken < OUTAGE_SECONDS:
+        failed_at = self._feed_failed_at
+        if failed_at is not None and now - failed_at < RECENT_OUTAGE_SECONDS:
             self.lapse(name, now)
             return
         self._drop(name)
 
     def lapse(self, name: TargetId, now: float) -> None:
-        """Take the removal of a row that may come back for a moment."""
+        """Mark a target's row as missing and start its grace period."""
         if name in self._rows:
-            is_copy = now - self._era_at < OUTAGE_SECONDS
-            seconds = COPY_RETURN_SECONDS if is_copy else RETURN_SECONDS
-            self._lapsed[name] = now + seconds
+            is_after_restore = now - self._restored_at < RECENT_OUTAGE_SECONDS
+            grace_seconds = RESTORE_GRACE_SECONDS if is_after_restore else RETURN_SECONDS
+            self._lapsed[name] = now + grace_seconds
 
     def expire(self, now: float) -> None:
-        """Drop entries that lapsed in an outage and have not come back."""
+        """Drop the lapsed targets whose grace period has ended."""
         for name in [name for name, end in self._lapsed.items() if end <= now]:
             del self._lapsed[name]
             self._drop(name)
@@ -268,15 +275,15 @@
     def note_layers(
         self, name: TargetId, layers: LayerRange | None, born: int = 0
     ) -> None:
-        """Learn what an engine holds sooner than its row says so.
+        """Record the layers that an engine holds before its row shows them.
 
-        :param born: when the engine that holds it started; 0 where that is not known.
+        :param born: when that engine started, in ms since 1970; 0 if unknown.
         """
         row = self._rows.get(name)
         if row is None or 0 < born < row.born:
             return
         if born > row.born > 0:
-            self._restart(row, layers, born)
+            self._replace_restarted(row, layers, born)
             return
         if row.target.layers == layers:
             return
@@ -284,27 +291,29 @@
         self._rows[name] = replace(row, target=target)
         if name in self.targets:
             self.targets[name] = target
-            self._tell(Change.UPDATED, target)
+            self._notify(Change.UPDATED, target)
 
     def list_engines(self) -> list[Target]:
-        """Return the targets that run layers of a model, whatever their state."""
+        """Return the targets that run layers of a model, including leaving ones."""
         return [row.target for row in self._rows.values() if row.target.accelerator]
 
     def get_born(self, name: TargetId) -> int:
-        """Return when a target started, in ms since 1970; 0 where it is not known."""
+        """Return when a target started, in ms since 1970; 0 if unknown."""
         row = self._rows.get(name)
         return row.born if row is not None else 0
 
-    def _restart(self, row: TargetRow, layers: LayerRange | None, born: int) -> None:
-        """Take a target that has started again: what was known of it has ended."""
-        leaving = self._leaving.get(row.target.id)
+    def _replace_restarted(
+        self, row: TargetRow, layers: LayerRange | None, born: int
+    ) -> None:
+        """Drop a target that has restarted and add it again with its new layers."""
+        leaving_since = self._leaving.get(row.target.id)
         self._drop(row.target.id)
         target = replace(row.target, layers=layers)
-        fresh = replace(row, target=target, born=born)
-        self.put(fresh, leaving if leaving is not None else 0.0)
+        restarted = replace(row, target=target, born=born)
+        self.put(restarted, leaving_since if leaving_since is not None else 0.0)
 
     def _replace_predecessor(self, row: TargetRow) -> None:
-        """Drop the target whose address a newer one has: it has been restarted."""
+        """Drop the target at the row's address if older: a restart has replaced it."""
         old = self._by_address.get(row.target.address)
         if old is None or old == row.target.id or old not in self._rows:
             return
@@ -314,32 +323,32 @@
 
     def _drop(self, name: TargetId) -> None:
         row = self._rows.pop(name)
-        self._gone[name] = _Gone(row.born, row.leaving)
-        if len(self._gone) > MOST_GONE:
-            del self._gone[next(iter(self._gone))]
+        self._dropped[name] = _DroppedTarget(row.born, row.leaving)
+        if len(self._dropped) > MAX_DROPPED:
+            del self._dropped[next(iter(self._dropped))]
         self._leaving.pop(name, None)
         self.targets.pop(name, None)
         if self._by_address.get(row.target.address) == name:
             del self._by_address[row.target.address]
-        self._tell(Change.GONE, row.target)
+        self._notify(Change.GONE, row.target)
 
-    def _tell(self, change: Change, target: Target) -> None:
+    def _notify(self, change: Change, target: Target) -> None:
         for listener in self._listeners:
             listener(change, target)
 
 
 @dataclass(frozen=True, slots=True)
-class _Gone:
-    """A target that was dropped."""
+class _DroppedTarget:
+    """What is remembered of a dropped target."""
 
     born: int
     was_leaving: bool
 
 
 def _is_older(row: TargetRow, known: TargetRow) -> bool:
-    """Tell whether a row says less than what is known.
+    """Tell whether a row is older than the known one.
 
-    A row of an earlier start is older whatever its revision: it may come late.
+    A row of an earlier start is older whatever its revision, as it may arrive late.
     """
     if row.born and known.born and row.born != known.born:
         return row.born < known.born
--- a/marigoldswitch/core/relays.py
+++ b/marigoldswitch/core/relays.py
@@ -1,14 +1,16 @@
-"""What part a host has among those of its data centre: relay, reader, or neither.
-
-Load it answers: dozens of hosts in a data centre. Each telling each other what it holds
-takes a message for every pair: with 30 hosts, 1,000 messages a data centre and round,
-most of a host's control traffic and processor time. Each reading the store by itself
-multiplies calls that are paid for and limited. So a few hosts, known to all by their
-addresses alone, take the words of the others and pass the sum on; and a few that the
-store answers read it for all. Nothing is elected: a host that is not heard is passed
-over, and two that both act cost messages and break nothing. Hosts with the strongest
-links come first: a relay or reader on a weak one is late for all that it tells, and its
-own probes wait behind it.
+"""Role of a host in its data centre: relay, reader of the store, or neither.
+
+In a data centre with dozens of hosts, reporting loads to each other takes a message for
+every pair: with 30 hosts, 1,000 messages a round, most of a host's control traffic and
+processor time. Each host reading the store by itself multiplies calls that are paid for
+and limited. So a few relays collect the reports of the others and distribute the total,
+and a few readers, which the store answers, read it for all.
+
+There is no election. Each host ranks the hosts by the strength of their links, then
+by address, and picks the first ones from which it hears. If two hosts pick differently
+and both act, that costs messages and breaks nothing. Strong links come first because a
+relay or reader on a weak one delays all that it sends, and its own probes queue behind
+that.
 """
 
 import math
@@ -18,84 +20,95 @@
 from marigoldswitch.core.ids import HostId
 
 MESH_HOSTS = 6
-"""Hosts of a data centre up to which each tells each other: below it a relay would save
-less than the message that it adds."""
-RELAYS = 3
-"""Hosts that relay or stand ready to: one may be lost and one cut off at a time."""
-RELAY_SECONDS = 2.5
-"""Time for which the word of a relay stands; it speaks every second at least."""
-LEAD_SECONDS = 0.75
-"""The same for the one that sums up, as loads of that age are hardly better than none:
-a stream lives 1 to 7 s."""
-READERS = 3
-"""Hosts of a data centre that follow the store by themselves. Its calls are paid for
-and limited; the others take the news from these, a digest and a message later. One
-reader may be lost and one turned away at the same time."""
+"""Largest number of hosts in a data centre that all report to each other. In one this
+small, a relay would save less than the message that it adds."""
+RELAY_COUNT = 3
+"""Hosts that relay or stand by: one may be lost and another cut off at the same
+time."""
+RELAY_TIMEOUT_SECONDS = 2.5
+"""Time after which a silent host no longer counts as a relay. A relay sends at least
+one message a second."""
+LEAD_TIMEOUT_SECONDS = 0.75
+"""Time after which a silent host no longer counts as the lead relay, the one that sums
+up loads. Loads older than this are of little use, as a stream takes 1 to 7 s."""
+READER_COUNT = 3
+"""Hosts of a data centre that read the store themselves. Its calls are paid for and
+limited; the other hosts get changes from these, one digest and one message later. One
+reader may be lost and another refused by the store at the same time."""
 READER_SECONDS = 1.5
-"""Time for which the word of a reader stands: several of its digests, and half of the
-time in which a configuration must be in force."""
-TURN_SECONDS = 0.06
-"""Time that each host waits for the ones before it to step in as a reader: with 30
-hosts, all would read until they have heard of each other's reading, some 0.5 s."""
+"""Time after which a silent host no longer counts as a reader: several digests long,
+and half of the time in which a new configuration must be in force."""
+TAKEOVER_DELAY_SECONDS = 0.06
+"""Delay per rank before a host takes over as a reader. Without it, all of 30 hosts
+would read until they had heard of each other, some 0.5 s."""
 
 
 @dataclass(frozen=True, order=True, slots=True)
 class HostRank:
-    """Place of a host among those of its data centre; the lowest come first.
+    """Rank of a host in its data centre: strongest link first, then by host id.
 
-    :param weakness: the negative of its strength.
+    :param negated_strength: strength of its link times -1, for sorting.
     """
 
-    weakness: int
+    negated_strength: int
     host: HostId
 
 
 def measure_strength(link_bytes: float) -> int:
-    """Return how strong a host is for the others; links that are alike count the same.
+    """Return the strength of a host's link, as the binary logarithm of its bandwidth.
 
-    :param link_bytes: bytes a second that its link carries.
+    It is rounded down, so that similar links are equally strong.
+
+    :param link_bytes: bandwidth, in bytes a second.
     """
     return int(math.log2(max(1.0, link_bytes)))
 
 
 def choose_relays(own: HostRank, ages: Mapping[HostRank, float]) -> list[HostRank]:
-    """Return the hosts that relay, first the one that should sum up.
+    """Return the relays of the data centre by rank; the first should be the lead.
 
-    :param ages: seconds since each other host of the data centre was heard.
+    :param ages: seconds since the last message of each other host of the data centre.
     """
-    heard = [host for host, age in ages.items() if age < RELAY_SECONDS]
-    return sorted([own, *heard])[:RELAYS]
+    heard = [host for host, age in ages.items() if age < RELAY_TIMEOUT_SECONDS]
+    return sorted([own, *heard])[:RELAY_COUNT]
 
 
 def is_lead(own: HostRank, ages: Mapping[HostRank, float]) -> bool:
-    """Tell whether a host sums up: a relay before which none was heard just now."""
-    heard = [host for host, age in ages.items() if age < LEAD_SECONDS]
+    """Tell whether a host is the lead relay, which sums up the loads.
+
+    It is a relay, and no host that ranks before it was heard within
+    ``LEAD_TIMEOUT_SECONDS``.
+
+    :param ages: seconds since the last message of each other host of the data centre.
+    """
+    heard = [host for host, age in ages.items() if age < LEAD_TIMEOUT_SECONDS]
     return own in choose_relays(own, ages) and own == min([own, *heard])
 
 
 def choose_patience(own: HostRank, hosts: Iterable[HostRank]) -> float:
-    """Return how much longer than the first hosts this one waits between two tries.
+    """Return the factor by which a host lengthens its pauses between retries.
 
-    While the store turns all away, the first of a data centre try as if they were
-    alone, and the others together as often as these: refused calls are paid for too.
+    Refused calls to the store are paid for too. While it refuses all hosts, the first
+    ``READER_COUNT`` by rank retry at the normal rate, and all others together as often
+    as these.
 
-    :param hosts: the others of the data centre.
+    :param hosts: the other hosts of the data centre.
     """
     known = list(hosts)
-    if sum(host < own for host in known) < READERS:
+    if sum(host < own for host in known) < READER_COUNT:
         return 1.0
-    return max(1.0, (len(known) + 1 - READERS) / READERS)
+    return max(1.0, (len(known) + 1 - READER_COUNT) / READER_COUNT)
 
 
 @dataclass(slots=True)
 class ReaderTurn:
-    """Whether this host must follow the store by itself.
+    """Decides whether this host must read the store itself.
 
-    :ivar short_since: since when too few others are known to read; ``None`` while
-        there are enough.
+    :ivar shortage_since: monotonic time, in seconds, since when too few readers that
+        rank before it are known; ``None`` while there are enough.
     """
 
-    short_since: float | None = None
+    shortage_since: float | None = None
 
     def must_read(
         self,
@@ -104,19 +117,21 @@
         readers: Iterable[HostRank],
         now: float,
     ) -> bool:
-        """Tell whether this host must read now.
+        """Tell whether this host must read the store now.
 
-        The first hosts that the store answers do, in order of their ranks; the
-        others step in one after the other where these fall away.
+        The first hosts by rank that the store answers do. When one of them fails, the
+        next hosts take over one after the other, each after a delay.
 
-        :param hosts: of the data centre that were heard of.
-        :param readers: those that were lately said to read.
+        :param own: rank of this host.
+        :param hosts: known other hosts of the data centre.
+        :param readers: other hosts of the data centre recently reported as readers.
+        :param now: monotonic time, in seconds.
         """
-        if sum(host < own for host in readers) >= READERS:
-            self.short_since = None
+        if sum(host < own for host in readers) >= READER_COUNT:
+            self.shortage_since = None
             return False
-        if self.short_since is None:
-            self.short_since = now
+        if self.shortage_since is None:
+            self.shortage_since = now
         rank = sum(host < own for host in hosts)
-        wait = TURN_SECONDS * max(0, rank + 1 - READERS)
-        return now - self.short_since >= wait
+        wait = TAKEOVER_DELAY_SECONDS * max(0, rank + 1 - READER_COUNT)
+        return now - self.shortage_since >= wait
--- a/marigoldswitch/tests/test_loads.py
+++ b/marigoldswitch/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""A host counts what it and its peers hold, and forgets peers that fall silent."""
+"""A host sums its own usage and that of its peers, and drops outdated reports."""
 
 import pytest
 
@@ -11,14 +11,14 @@
 FAR = DataCentre("south")
 
 
-def test_own_and_foreign_usage_add_up():
+def test_own_and_peer_usage_add_up():
     loads = Loads(HOME)
     loads.hold(TARGET, Usage(1, 900))
     loads.hear(PEER, HOME, {TARGET: Usage(2, 1800)}, 0.0)
     assert loads.get(TARGET) == Usage(3, 2700)
 
 
-def test_digest_replaces_the_one_before():
+def test_peer_usage_replaces_its_previous_report():
     loads = Loads(HOME)
     loads.hear(PEER, HOME, {TARGET: Usage(2, 1800)}, 0.0)
     loads.hear(PEER, HOME, {}, 0.1)
@@ -48,7 +48,7 @@
         loads.release(TARGET, Usage(2, 10))
 
 
-def test_what_peers_have_not_heard_of_is_counted_until_they_are_told():
+def test_unreported_memory_is_counted_until_it_is_reported():
     loads = Loads(HOME)
     loads.hold(TARGET, Usage(1, 900))
     assert loads.count_fresh(TARGET) == 900
@@ -57,14 +57,14 @@
     assert loads.get(TARGET) == Usage(1, 900)
 
 
-def test_sum_of_a_relay_stands_in_place_of_what_its_hosts_tell():
+def test_total_of_a_relay_overrides_the_reports_of_its_hosts():
     loads = Loads(HOME)
     loads.hear(PEER, HOME, {TARGET: Usage(2, 1800)}, 0.0)
     loads.hear_sum(HOME, {TARGET: Usage(5, 4500)}, 0.1)
     assert loads.get(TARGET) == Usage(5, 4500)
 
 
-def test_own_part_of_a_sum_counts_once():
+def test_own_part_of_a_total_counts_once():
     loads = Loads(HOME)
     loads.hold(TARGET, Usage(1, 900))
     loads.note_told()
@@ -74,7 +74,7 @@
     assert loads.get(TARGET) == Usage(6, 5200)
 
 
-def test_sum_older_than_what_was_told_since_leaves_no_negative_part():
+def test_outdated_total_does_not_give_negative_usage():
     loads = Loads(HOME)
     loads.hold(TARGET, Usage(1, 900))
     loads.note_told()
@@ -82,7 +82,7 @@
     assert loads.get(TARGET) == Usage(1, 900)
 
 
-def test_relay_sums_its_own_data_centre_and_passes_the_others_on():
+def test_relay_totals_its_own_data_centre_and_forwards_the_others():
     loads = Loads(HOME)
     loads.hold(TARGET, Usage(1, 900))
     loads.hear(PEER, HOME, {TARGET: Usage(2, 1800)}, 0.0)
@@ -94,7 +94,7 @@
     assert loads.get(TARGET) == Usage(12, 2702)
 
 
-def test_relay_that_fell_silent_leaves_the_words_of_the_hosts():
+def test_reports_of_hosts_count_again_after_their_relay_falls_silent():
     loads = Loads(HOME)
     loads.hear_sum(HOME, {TARGET: Usage(5, 4500)}, 0.0)
     loads.hear(PEER, HOME, {TARGET: Usage(2, 1800)}, STALE_SECONDS)
@@ -102,15 +102,16 @@
     assert loads.get(TARGET) == Usage(2, 1800)
 
 
-def test_words_of_peers_are_added_up_once_a_look_and_not_once_a_word(monkeypatch):
-    """A relay of thirty hosts hears 150 words a second and looks at loads a few times.
+def test_peer_reports_are_summed_on_read_and_not_on_arrival(monkeypatch):
+    """Guards against summing all reports again with each one that arrives.
 
-    Each word was added up by itself: an eighth of a relay's processor time (0.9 of 7.3
-    s in a day of 50 s, under a profiler), growing with hosts times engines.
+    A relay of thirty hosts receives 150 reports a second and reads loads a few times.
+    Summing on arrival took an eighth of its processor time, growing with the number of
+    hosts times engines.
     """
     loads, sums = Loads(HOME), []
-    add_up = loads._add_up
-    monkeypatch.setattr(loads, "_add_up", lambda: sums.append(1) or add_up())
+    sum_others = loads._sum_others
+    monkeypatch.setattr(loads, "_sum_others", lambda: sums.append(1) or sum_others())
     for number in range(150):
         loads.hear(HostId(f"10.1.0.{number}:80"), HOME, {TARGET: Usage(1, 10)}, 0.0)
     for _ in range(90):
--- a/marigoldswitch/tests/test_registry.py
+++ b/marigoldswitch/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Targets leave at once when they say so, and outlive an outage of the store."""
+"""Targets stop getting work as soon as they leave, and survive a store outage."""
 
 from hypothesis import given, strategies as st
 
@@ -61,7 +61,7 @@
     assert not registry.targets
 
 
-def test_removed_row_is_gone_at_once_in_calm_times():
+def test_removed_row_is_dropped_at_once_without_an_outage():
     registry = TargetRegistry()
     registry.put(build_row(), 0.0)
     registry.remove(NAME, 10.0)
@@ -89,7 +89,7 @@
     assert not registry.rows
 
 
-def test_list_of_a_host_in_touch_is_believed_at_once():
+def test_authoritative_list_drops_missing_targets_at_once():
     registry = TargetRegistry()
     registry.put(build_row(), 0.0)
     registry.note_outage(10.0)
@@ -97,7 +97,7 @@
     assert not registry.rows
 
 
-def test_new_incarnation_replaces_the_one_at_its_address():
+def test_newer_target_replaces_the_one_at_its_address():
     registry = TargetRegistry()
     registry.put(build_row(), 0.0)
     registry.put(build_row("i-2", revision=2), 1.0)
@@ -105,7 +105,7 @@
     assert list(registry.rows) == ["i-2"]
 
 
-def test_layers_seen_by_the_orderer_come_before_the_row():
+def test_observed_layers_take_effect_before_the_row_changes():
     registry = TargetRegistry()
     registry.put(build_row(), 0.0)
     registry.note_layers(NAME, LayerRange(0, 8))
@@ -136,7 +136,7 @@
 HELD = LayerRange(0, 8)
 
 
-def test_target_that_starts_again_under_its_id_is_a_new_one():
+def test_restarted_target_is_treated_as_a_new_one():
     registry = TargetRegistry()
     registry.put(build_row(revision=4, born=1000, layers=HELD), 0.0)
     registry.lapse(NAME, 0.5)
@@ -148,7 +148,7 @@
     assert NAME in registry.targets
 
 
-def test_what_is_told_late_of_an_earlier_start_changes_nothing():
+def test_late_news_of_an_earlier_start_is_ignored():
     registry = TargetRegistry()
     registry.put(build_row(revision=5, born=2000), 0.0)
     seen = watch(registry)
@@ -158,7 +158,7 @@
     assert registry.targets[NAME].layers is None
 
 
-def test_report_tells_of_a_new_start_sooner_than_the_row():
+def test_restart_is_learned_from_a_report_before_the_row():
     registry = TargetRegistry()
     registry.put(build_row(revision=4, born=1000, layers=HELD), 0.0)
     seen = watch(registry)
@@ -168,7 +168,7 @@
     assert registry.targets[NAME].layers is None
 
 
-def test_new_start_of_a_leaving_target_gets_no_work_before_its_row_says_so():
+def test_restarted_leaving_target_gets_no_work_until_its_row_is_updated():
     registry = TargetRegistry()
     registry.put(build_row(revision=4, born=1000, leaving=True), 0.0)
     registry.note_layers(NAME, None, 2000)
@@ -200,10 +200,10 @@
 
 
 @given(st.lists(ROWS, min_size=1, max_size=8))
-def test_the_latest_start_stands_in_whatever_order_rows_come(rows):
+def test_latest_start_wins_in_any_order_of_rows(rows):
     registry = TargetRegistry()
-    for moment, row in enumerate(rows):
-        registry.put(row, float(moment))
+    for now, row in enumerate(rows):
+        registry.put(row, float(now))
     assert registry.rows[NAME].born == max(row.born for row in rows)
     last = [row for row in rows if row.born == registry.rows[NAME].born]
     assert registry.rows[NAME].revision == max(row.revision for row in last)
--- a/marigoldswitch/tests/test_relays.py
+++ b/marigoldswitch/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Few hosts of a data centre relay and read for the many; others step in for them."""
+"""A few hosts of a data centre relay and read for all; others replace lost ones."""
 
 import random
 from types import SimpleNamespace
@@ -6,10 +6,10 @@
 from marigoldswitch.core.gateway_messages import LoadDigest
 from marigoldswitch.core.ids import DataCentre, HostId
 from marigoldswitch.core.relays import (
-    LEAD_SECONDS,
-    READERS,
-    RELAY_SECONDS,
-    RELAYS,
+    LEAD_TIMEOUT_SECONDS,
+    READER_COUNT,
+    RELAY_COUNT,
+    RELAY_TIMEOUT_SECONDS,
     HostRank,
     ReaderTurn,
     choose_patience,
@@ -24,48 +24,48 @@
 
 
 def list_ages(own, age=0.1, **silent):
-    """Return how long ago each other host was heard."""
+    """Return the seconds since each other host was heard."""
     return {host: silent.get(host, age) for host in HOSTS if host != own}
 
 
 def test_all_hosts_choose_the_same_relays():
     chosen = {tuple(choose_relays(own, list_ages(own))) for own in HOSTS}
-    assert chosen == {tuple(HOSTS[:RELAYS])}
+    assert chosen == {tuple(HOSTS[:RELAY_COUNT])}
     assert [own for own in HOSTS if is_lead(own, list_ages(own))] == [HOSTS[0]]
 
 
 def test_next_host_leads_when_the_first_falls_silent():
     ages = {own: list_ages(own) for own in HOSTS}
     for known in ages.values():
-        known.update({HOSTS[0]: LEAD_SECONDS} if HOSTS[0] in known else {})
+        known.update({HOSTS[0]: LEAD_TIMEOUT_SECONDS} if HOSTS[0] in known else {})
     leads = [own for own in HOSTS[1:] if is_lead(own, ages[own])]
     assert leads == [HOSTS[1]]
     assert choose_relays(HOSTS[5], ages[HOSTS[5]])[0] == HOSTS[0]
-    ages[HOSTS[5]][HOSTS[0]] = RELAY_SECONDS
-    assert choose_relays(HOSTS[5], ages[HOSTS[5]]) == HOSTS[1 : RELAYS + 1]
+    ages[HOSTS[5]][HOSTS[0]] = RELAY_TIMEOUT_SECONDS
+    assert choose_relays(HOSTS[5], ages[HOSTS[5]]) == HOSTS[1 : RELAY_COUNT + 1]
 
 
-def test_host_that_does_not_relay_does_not_lead_however_silent_the_relays_are():
+def test_host_that_is_no_relay_does_not_lead_while_relays_are_silent():
     own = HOSTS[5]
-    assert not is_lead(own, list_ages(own, age=RELAY_SECONDS - 0.1))
+    assert not is_lead(own, list_ages(own, age=RELAY_TIMEOUT_SECONDS - 0.1))
 
 
-def test_host_that_hears_nobody_relays_for_itself():
+def test_isolated_host_is_its_own_lead_relay():
     ages = list_ages(HOSTS[9], age=60.0)
     assert choose_relays(HOSTS[9], ages) == [HOSTS[9]]
     assert is_lead(HOSTS[9], ages)
 
 
-def test_readers_are_the_first_that_the_store_answers():
-    reading = set(HOSTS[:READERS])
+def test_first_hosts_by_rank_read_the_store():
+    reading = set(HOSTS[:READER_COUNT])
     turns = {own: ReaderTurn() for own in HOSTS}
     for own, turn in turns.items():
         others = reading - {own}
         assert turn.must_read(own, list_ages(own), others, 0.0) == (own in reading)
 
 
-def play_loss_of_readers(lost, hear_seconds=0.3, step=0.02):
-    """Return who reads at the end, and the most that did, after readers are lost."""
+def simulate_loss_of_readers(lost, hear_seconds=0.3, step=0.02):
+    """Return the readers 4 s after some hosts are lost, and the most at any time."""
     alive = [host for host in HOSTS if host not in lost]
     turns = {own: ReaderTurn() for own in alive}
     began: dict[HostId, float] = {}
@@ -87,19 +87,19 @@
     return set(began), most
 
 
-def test_lost_readers_are_replaced_by_the_next_without_all_stepping_in():
-    reading, most = play_loss_of_readers(lost=HOSTS[:2])
+def test_lost_readers_are_replaced_without_all_hosts_reading():
+    reading, most = simulate_loss_of_readers(lost=HOSTS[:2])
     assert reading == set(HOSTS[2:5])
     assert most <= 9
 
 
-def test_refused_tries_of_many_hosts_cost_as_much_as_those_of_six():
+def test_retries_of_many_hosts_cost_no_more_than_those_of_six():
     rates = [1.0 / choose_patience(own, list_ages(own)) for own in HOSTS]
-    assert rates[:READERS] == [1.0] * READERS
-    assert READERS <= sum(rates) <= 2 * READERS + 0.01
+    assert rates[:READER_COUNT] == [1.0] * READER_COUNT
+    assert READER_COUNT <= sum(rates) <= 2 * READER_COUNT + 0.01
 
 
-def test_few_hosts_all_try_as_often():
+def test_few_hosts_all_retry_at_the_same_rate():
     own = HOSTS[2]
     assert choose_patience(own, HOSTS[:2]) == 1.0
 
@@ -115,8 +115,8 @@
     return STRONG if host in STRONG_HOSTS else WEAK
 
 
-def list_hosts(own, clock):
-    """Return the roster of a host that has read the rows of all others."""
+def build_roster(own, clock):
+    """Return the roster of a host that knows all others from their rows."""
     strength = get_strength(own)
     roster = Roster(clock, own, HOME, random.Random(1), strength)
     for host in HOSTS:
@@ -126,19 +126,19 @@
 
 
 def test_hosts_on_strong_links_relay_and_read_for_those_on_weak_ones():
-    """Three of thirty hosts have a link of 100 Mbit/s, the others one of 10.
+    """Three of thirty hosts have a link of 100 Mbit/s, the others one of 10 Mbit/s.
 
-    Chosen by address, a relay on a weak link passed 213 KB on in a tenth of a second,
-    and its own probes waited behind them.
+    Guards against ranking by address alone: a relay on a weak link forwarded 213 KB in
+    a tenth of a second, and its own probes queued behind them.
     """
     clock = SimpleNamespace(monotonic=lambda: 10.0)
-    rosters = {own: list_hosts(own, clock) for own in HOSTS}
+    rosters = {own: build_roster(own, clock) for own in HOSTS}
     assert all(item.relays == STRONG_HOSTS for item in rosters.values())
     assert [own for own in HOSTS if rosters[own].is_lead] == STRONG_HOSTS[:1]
     assert [own for own in HOSTS if rosters[own].must_read()] == STRONG_HOSTS
 
 
-def test_host_learns_how_strong_another_is_when_it_hears_of_it():
+def test_host_learns_the_strength_of_another_from_its_digest():
     clock = SimpleNamespace(monotonic=lambda: 10.0)
     roster = Roster(clock, HOSTS[0], HOME, random.Random(1), WEAK)
     for host in HOSTS[1:]:
@@ -153,12 +153,12 @@
     own = HOSTS[5]
     ages = {ranks[host]: age for host, age in list_ages(own).items()}
     for lost in STRONG_HOSTS[:2]:
-        ages[ranks[lost]] = RELAY_SECONDS
+        ages[ranks[lost]] = RELAY_TIMEOUT_SECONDS
     relays = choose_relays(ranks[own], ages)
     assert [item.host for item in relays] == [STRONG_HOSTS[2], HOSTS[0], HOSTS[1]]
 
 
-def test_links_that_are_alike_count_the_same():
+def test_similar_links_have_the_same_strength():
     assert measure_strength(100 * MEGABIT) == measure_strength(110 * MEGABIT)
     assert WEAK < STRONG
     assert measure_strength(0.0) == 0
--- a/marigoldswitch/tests/test_restored_lease.py
+++ b/marigoldswitch/tests/test_restored_lease.py
@@ -1,4 +1,4 @@
-"""One host orders at a time, also when the store comes back from an older copy."""
+"""Only one host orders at a time, also when the store is restored from a copy."""
 
 import asyncio
 from types import SimpleNamespace
@@ -16,22 +16,22 @@
 TERMS = LeaseTerms(2.4, 0.3)
 
 
-def test_lease_that_the_copy_lacks_is_not_taken_while_its_holder_may_believe_in_it():
+def test_lease_missing_from_the_copy_is_not_taken_while_its_holder_may_act():
     holder = Lease(HostId("h0"), "1", TERMS)
-    rival = Lease(HostId("h1"), "2", TERMS)
+    candidate = Lease(HostId("h1"), "2", TERMS)
     holder.see(None, 0.0)
     claim = holder.plan_claim(0.0)
     holder.note_written(claim, 0.0, 0.0, make_revision(1, 5))
-    rival.see(Row(encode_lease(claim.row), make_revision(1, 5)), 0.5)
-    rival.see(None, 1.0)
-    assert rival.plan_claim(1.0) is None
-    assert rival.plan_claim(1.0 + 2.3) is None
+    candidate.see(Row(encode_lease(claim.row), make_revision(1, 5)), 0.5)
+    candidate.see(None, 1.0)
+    assert candidate.plan_claim(1.0) is None
+    assert candidate.plan_claim(1.0 + 2.3) is None
     assert not holder.may_order(1.0 + 2.4)
-    assert rival.plan_claim(1.0 + 2.4) is not None
+    assert candidate.plan_claim(1.0 + 2.4) is not None
 
 
 class RestoredTable:
-    """Rows under guards, with a copy to come back from; answers may be lost."""
+    """Table with conditional writes that can be restored and can lose answers."""
 
     def __init__(self):
         self.era, self.version = 1, 1
@@ -86,10 +86,10 @@
 
 
 @given(LEASE_STEPS)
-def test_two_hosts_never_order_at_once_whatever_the_store_comes_back_from(steps):
-    """Hosts that tick when they like, paused ones among them, and lost answers.
+def test_two_hosts_never_order_at_once_across_restores(steps):
+    """Two hosts tick at arbitrary times, may be paused, and answers may be lost.
 
-    The copy holds the lease's row: without it nobody knows of a holder.
+    The copy contains the lease's row; without it, no host would know of a holder.
     """
 
     async def scenario():
@@ -114,7 +114,7 @@
     asyncio.run(scenario())
 
 
-def test_lease_whose_guard_held_by_chance_is_given_up_for_its_whole_time():
+def test_lease_renewed_on_a_reused_version_is_given_up_for_a_full_term():
     async def scenario():
         clock = SimpleNamespace(now=100.0)
         clock.monotonic = lambda: clock.now
--- a/marigoldswitch/tests/test_store_restored.py
+++ b/marigoldswitch/tests/test_store_restored.py
@@ -1,4 +1,4 @@
-"""The store comes back from an older copy: versions go back, writes are lost."""
+"""The store is restored from an older copy: versions go back and writes are lost."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from marigoldswitch.core.ids import DataCentre
 from marigoldswitch.core.ports import StoreFault
 from marigoldswitch.core.registry import (
-    COPY_RETURN_SECONDS,
+    RESTORE_GRACE_SECONDS,
     Change,
     TargetRegistry,
     TargetRow,
@@ -31,10 +31,10 @@
 from marigoldswitch.wire import MessageCodec
 
 
-def row(name, era, version, leaving=False, born=1, layers=(0, 8), address=None):
+def build_row(name, era, version, leaving=False, born=1, layers=(0, 8), address=None):
     span = LayerRange(*layers) if layers else None
-    place = address or f"{name}:1"
-    target = Target(name, "model", "north", place, 96, span, "card")
+    target_address = address or f"{name}:1"
+    target = Target(name, "model", "north", target_address, 96, span, "card")
     return TargetRow(target, leaving, make_revision(era, version), born)
 
 
@@ -44,106 +44,106 @@
     return registry
 
 
-# Orders of versions.
+# Revisions.
 
 
 @given(st.integers(0, 2**19 - 2), st.integers(0, 2**43))
-def test_place_in_the_history_keeps_era_and_version(era, version):
-    place = make_revision(era, version)
-    assert (get_era(place), get_version(place)) == (era, version)
-    assert make_revision(era + 1, 0) > place
+def test_revision_keeps_era_and_version(era, version):
+    revision = make_revision(era, version)
+    assert (get_era(revision), get_version(revision)) == (era, version)
+    assert make_revision(era + 1, 0) > revision
 
 
 @given(st.integers(0, 2**60), st.integers(0, 2**43))
-def test_place_of_any_era_fits_into_a_message(era, version):
-    place = make_revision(era, version)
+def test_revision_of_any_era_fits_into_a_message(era, version):
+    revision = make_revision(era, version)
     codec = MessageCodec(GatewayMessage)
-    digest = LoadDigest(DataCentre("north"), 1, place)
-    assert codec.decode(codec.encode(digest)).unwrap().revision == place
+    digest = LoadDigest(DataCentre("north"), 1, revision)
+    assert codec.decode(codec.encode(digest)).unwrap().revision == revision
 
 
-def test_store_without_eras_counts_as_ever():
+def test_revision_without_an_era_equals_the_version():
     assert make_revision(0, 17) == 17
 
 
-# Targets.
+# Registry of targets.
 
 
-def test_target_that_the_copy_lacks_stays_until_it_can_have_written_again():
-    registry = build_registry(row("a", 1, 40), row("b", 1, 45))
-    registry.replace_all([row("a", 2, 30)], make_revision(2, 31), 100.0)
-    registry.expire(100.0 + COPY_RETURN_SECONDS - 0.1)
+def test_target_missing_from_the_copy_is_kept_for_the_grace_period():
+    registry = build_registry(build_row("a", 1, 40), build_row("b", 1, 45))
+    registry.replace_all([build_row("a", 2, 30)], make_revision(2, 31), 100.0)
+    registry.expire(100.0 + RESTORE_GRACE_SECONDS - 0.1)
     assert set(registry.targets) == {"a", "b"}
-    registry.expire(100.0 + COPY_RETURN_SECONDS)
+    registry.expire(100.0 + RESTORE_GRACE_SECONDS)
     assert set(registry.targets) == {"a"}
 
 
-def test_target_that_has_written_again_stays():
-    registry = build_registry(row("a", 1, 40))
+def test_target_that_rewrites_its_row_stays():
+    registry = build_registry(build_row("a", 1, 40))
     registry.replace_all([], make_revision(2, 30), 100.0)
-    registry.put(row("a", 2, 31), 101.0)
+    registry.put(build_row("a", 2, 31), 101.0)
     registry.expire(200.0)
     assert set(registry.targets) == {"a"}
 
 
-def test_leaving_target_does_not_come_back_by_its_old_row():
-    registry = build_registry(row("a", 1, 40, leaving=True))
-    registry.replace_all([row("a", 2, 30)], make_revision(2, 31), 100.0)
+def test_leaving_target_is_not_revived_by_its_old_row():
+    registry = build_registry(build_row("a", 1, 40, leaving=True))
+    registry.replace_all([build_row("a", 2, 30)], make_revision(2, 31), 100.0)
     assert not registry.targets
-    registry.put(row("a", 2, 32), 101.0)
+    registry.put(build_row("a", 2, 32), 101.0)
     assert not registry.targets
 
 
-def test_target_that_ended_does_not_come_back_by_its_old_row():
-    registry = build_registry(row("a", 1, 40), row("b", 1, 41))
+def test_ended_target_is_not_revived_by_its_old_row():
+    registry = build_registry(build_row("a", 1, 40), build_row("b", 1, 41))
     registry.remove("a", 10.0)
-    told = []
-    registry.watch(lambda change, target: told.append((change, target.id)))
-    copy = [row("a", 2, 30), row("b", 2, 30)]
+    changes = []
+    registry.watch(lambda change, target: changes.append((change, target.id)))
+    copy = [build_row("a", 2, 30), build_row("b", 2, 30)]
     registry.replace_all(copy, make_revision(2, 31), 100.0)
     assert set(registry.targets) == {"b"}
-    assert told == [(Change.NOT_TAKEN_BACK, "a")]
+    assert changes == [(Change.NOT_TAKEN_BACK, "a")]
 
 
-def test_target_dropped_by_mistake_comes_back_when_it_writes_again():
-    registry = build_registry(row("a", 1, 40))
+def test_target_dropped_by_mistake_returns_when_it_rewrites_its_row():
+    registry = build_registry(build_row("a", 1, 40))
     registry.remove("a", 10.0)
-    registry.replace_all([row("a", 2, 30)], make_revision(2, 31), 100.0)
-    registry.put(row("a", 2, 32), 101.0)
+    registry.replace_all([build_row("a", 2, 30)], make_revision(2, 31), 100.0)
+    registry.put(build_row("a", 2, 32), 101.0)
     assert set(registry.targets) == {"a"}
 
 
-def test_target_that_started_again_is_not_taken_for_its_former_self():
-    registry = build_registry(row("a", 1, 40, born=7, layers=None))
-    copy = [row("a", 2, 30, born=3, layers=(0, 8))]
+def test_restarted_target_ignores_the_row_of_its_earlier_start():
+    registry = build_registry(build_row("a", 1, 40, born=7, layers=None))
+    copy = [build_row("a", 2, 30, born=3, layers=(0, 8))]
     registry.replace_all(copy, make_revision(2, 31), 100.0)
     assert registry.get_born("a") == 7
     assert registry.targets["a"].layers is None
-    registry.put(row("a", 2, 35, born=9, layers=None), 101.0)
+    registry.put(build_row("a", 2, 35, born=9, layers=None), 101.0)
     assert registry.get_born("a") == 9
 
 
-def test_what_a_target_holds_stands_until_it_has_written_again():
-    registry = build_registry(row("a", 1, 40, layers=(4, 8)))
-    copy = [row("a", 2, 30, layers=(0, 4))]
+def test_layers_of_a_target_are_kept_until_it_rewrites_its_row():
+    registry = build_registry(build_row("a", 1, 40, layers=(4, 8)))
+    copy = [build_row("a", 2, 30, layers=(0, 4))]
     registry.replace_all(copy, make_revision(2, 31), 100.0)
     assert registry.targets["a"].layers == LayerRange(4, 8)
-    registry.put(row("a", 2, 33, layers=(0, 2)), 101.0)
+    registry.put(build_row("a", 2, 33, layers=(0, 2)), 101.0)
     assert registry.targets["a"].layers == LayerRange(0, 2)
 
 
 def test_old_row_does_not_take_the_address_of_a_later_target():
-    registry = build_registry(row("new", 1, 40, address="x:1"))
-    copy = [row("old", 2, 30, address="x:1")]
+    registry = build_registry(build_row("new", 1, 40, address="x:1"))
+    copy = [build_row("old", 2, 30, address="x:1")]
     registry.replace_all(copy, make_revision(2, 31), 100.0)
     assert set(registry.targets) == {"new"}
 
 
-def test_two_returns_in_a_row_drop_nobody_that_writes_again():
-    registry = build_registry(row("a", 1, 40))
+def test_two_restores_drop_no_target_that_rewrites_its_row():
+    registry = build_registry(build_row("a", 1, 40))
     for era in (2, 3):
         registry.replace_all([], make_revision(era, 30), 100.0 + era)
-    registry.put(row("a", 3, 31), 104.0)
+    registry.put(build_row("a", 3, 31), 104.0)
     registry.expire(200.0)
     assert set(registry.targets) == {"a"}
 
@@ -159,8 +159,8 @@
 
 
 @given(STEPS)
-def test_registry_agrees_with_the_live_targets_after_they_have_written_again(steps):
-    """A store, targets that write, leave and end, and a host that reads at times."""
+def test_registry_matches_the_live_targets_after_they_rewrite_their_rows(steps):
+    """Targets write, leave and end; the store is copied, restored and read."""
     version, era, now = 10, 1, 0.0
     state = dict.fromkeys(NAMES, "live")
     store, copy = {}, ({}, version)
@@ -172,7 +172,9 @@
         store[name] = (version, state[name] == "leaving")
 
     def read():
-        rows = [row(name, era, at, leaving) for name, (at, leaving) in store.items()]
+        rows = [
+            build_row(name, era, at, leaving) for name, (at, leaving) in store.items()
+        ]
         registry.replace_all(rows, make_revision(era, version), now)
 
     for name in NAMES:
@@ -201,7 +203,7 @@
                 seen_leaving |= {
                     item
                     for item in NAMES
-                    if registry.rows.get(item, row("x", 0, 0)).leaving
+                    if registry.rows.get(item, build_row("x", 0, 0)).leaving
                 }
         assert not seen_leaving & set(registry.targets)
     for name in NAMES:
@@ -215,7 +217,7 @@
     assert set(registry.targets) == live
 
 
-# The adapter.
+# Client of the store.
 
 
 async def open_store():
@@ -225,8 +227,8 @@
     return standin, session, PlatformStore(session, standin.address)
 
 
-def play(scenario):
-    async def whole():
+def run_with_store(scenario):
+    async def run_scenario():
         standin, session, store = await open_store()
         try:
             await scenario(standin, store)
@@ -234,7 +236,7 @@
             await session.close()
             await standin.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_scenario())
 
 
 def write_target(standin, name):
@@ -251,7 +253,7 @@
     standin.put("servers", name, fields)
 
 
-def test_feed_whose_versions_have_passed_the_ones_known_does_not_hide_a_return():
+def test_restore_is_detected_when_new_versions_exceed_the_known_one():
     async def scenario(standin, store):
         write_target(standin, "a")
         standin.copy()
@@ -266,10 +268,10 @@
         assert {item.target.id for item in whole.rows} == set("acde")
         assert whole.revision > seen.revision
 
-    play(scenario)
+    run_with_store(scenario)
 
 
-def test_read_of_a_version_that_the_store_does_not_have_says_that_history_is_gone():
+def test_feed_from_a_version_beyond_the_newest_reports_history_gone():
     async def scenario(standin, store):
         standin.copy()
         write_target(standin, "a")
@@ -278,10 +280,10 @@
         later = await store.wait_targets(seen.revision, 0.0)
         assert later.err() is FeedFault.HISTORY_GONE
 
-    play(scenario)
+    run_with_store(scenario)
 
 
-def test_guard_that_holds_by_chance_after_a_return_is_told():
+def test_guard_matching_a_reused_version_is_reported_as_restored():
     async def scenario(standin, store):
         standin.copy()
         version = (await store.write("leases", "isle", b"first", 0)).unwrap()
@@ -291,10 +293,10 @@
         again = await store.write("leases", "isle", b"first again", version)
         assert again.err() is StoreFault.RESTORED
 
-    play(scenario)
+    run_with_store(scenario)
 
 
-def test_era_that_can_not_be_read_changes_nothing():
+def test_unreadable_era_is_ignored():
     async def scenario(standin, store):
         write_target(standin, "a")
         seen = (await store.wait_targets(0, 0.0)).unwrap()
@@ -303,10 +305,10 @@
         later = (await store.wait_targets(seen.revision, 0.0)).unwrap()
         assert [item.target.id for item in later.rows] == ["b"]
 
-    play(scenario)
+    run_with_store(scenario)
 
 
-def test_store_that_tells_no_era_is_read_as_before():
+def test_store_without_era_header_is_read_normally():
     async def scenario(standin, store):
         standin.era = None
         write_target(standin, "a")
@@ -316,7 +318,7 @@
         later = (await store.wait_targets(seen.revision, 0.0)).unwrap()
         assert [item.target.id for item in later.rows] == ["b"]
 
-    play(scenario)
+    run_with_store(scenario)
 
 
 # Whole hosts.
