--- a/marigoldswitch/core/loads.py
+++ b/marigoldswitch/core/loads.py
@@ -78,9 +78,8 @@
         self._centre_reports: dict[DataCentre, _UsageReport] = {}
         self._others_total: dict[TargetId, Usage] | None = None
         """Cached usage by all other hosts; ``None`` if it must be summed again. It is
-        summed on demand instead of with each report: a relay of thirty hosts receives
-        150 reports a second but chooses few chains, and spent an eighth of its time on
-        sums."""
+        summed on demand: a relay of thirty hosts receives 150 reports a second but
+        chooses few chains, and summing with each report took an eighth of its time."""
         self._unreported_memory: dict[TargetId, int] = {}
 
     def get(self, target: TargetId) -> Usage:
--- a/marigoldswitch/core/registry.py
+++ b/marigoldswitch/core/registry.py
@@ -263,7 +263,9 @@
         """Mark a target's row as missing and start its grace period."""
         if name in self._rows:
             is_after_restore = now - self._restored_at < RECENT_OUTAGE_SECONDS
-            grace_seconds = RESTORE_GRACE_SECONDS if is_after_restore else RETURN_SECONDS
+            grace_seconds = (
+                RESTORE_GRACE_SECONDS if is_after_restore else RETURN_SECONDS
+            )
             self._lapsed[name] = now + grace_seconds
 
     def expire(self, now: float) -> None:
--- a/marigoldswitch/core/relays.py
+++ b/marigoldswitch/core/relays.py
@@ -45,7 +45,9 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class HostRank:
-    """Rank of a host in its data centre: strongest link first, then by host id.
+    """Rank of a host in its data centre, by strength of its link and then by host id.
+
+    The lowest rank comes first.
 
     :param negated_strength: strength of its link times -1, for sorting.
     """
--- a/marigoldswitch/tests/test_relays.py
+++ b/marigoldswitch/tests/test_relays.py
@@ -58,16 +58,16 @@
 
 def test_first_hosts_by_rank_read_the_store():
     reading = set(HOSTS[:READER_COUNT])
-    turns = {own: ReaderTurn() for own in HOSTS}
-    for own, turn in turns.items():
+    selections = {own: ReaderTurn() for own in HOSTS}
+    for own, selection in selections.items():
         others = reading - {own}
-        assert turn.must_read(own, list_ages(own), others, 0.0) == (own in reading)
+        assert selection.must_read(own, list_ages(own), others, 0.0) == (own in reading)
 
 
 def simulate_loss_of_readers(lost, hear_seconds=0.3, step=0.02):
     """Return the readers 4 s after some hosts are lost, and the most at any time."""
     alive = [host for host in HOSTS if host not in lost]
-    turns = {own: ReaderTurn() for own in alive}
+    selections = {own: ReaderTurn() for own in alive}
     began: dict[HostId, float] = {}
     most = 0
     now = 0.0
@@ -78,7 +78,7 @@
                 for host, at in began.items()
                 if host != own and now - at >= hear_seconds
             }
-            if turns[own].must_read(own, list_ages(own), heard, now):
+            if selections[own].must_read(own, list_ages(own), heard, now):
                 began.setdefault(own, now)
             else:
                 began.pop(own, None)
--- a/marigoldswitch/tests/test_store_restored.py
+++ b/marigoldswitch/tests/test_store_restored.py
@@ -288,8 +288,8 @@
         standin.copy()
         version = (await store.write("leases", "isle", b"first", 0)).unwrap()
         standin.restore()
-        rival = (await store.write("leases", "isle", b"rival", 0)).unwrap()
-        assert get_version(rival) == get_version(version)
+        other = (await store.write("leases", "isle", b"rival", 0)).unwrap()
+        assert get_version(other) == get_version(version)
         again = await store.write("leases", "isle", b"first again", version)
         assert again.err() is StoreFault.RESTORED
 
