--- a/marigoldswitch/gateway/admission.py
+++ b/marigoldswitch/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Lets model requests wait for a chain with room, in order."""
+"""Queues model requests, in order of priority, until a chain of engines has room."""
 
 import asyncio
 from dataclasses import dataclass
@@ -10,71 +10,84 @@
 from marigoldswitch.core.waiting import Ticket, WaitingLine
 from marigoldswitch.gateway.planner import ChainPlanner
 
-LOOK_SECONDS = 0.02
-"""Pause between looks for room while somebody waits: the room that peers free and that
-targets bring back is told by no event of this host; some decode steps long."""
-TRIES = 3
-"""Waiting requests for which room is sought in one look: a large one at the head must
-not keep out small ones for good, nor may each look try them all."""
+POLL_SECONDS = 0.02
+"""Pause between two searches for room while requests wait: no event on this host tells
+when other hosts free room or targets return. The pause is a few decode steps long."""
+MAX_FAILED_TRIES = 3
+"""Requests that may find no room before a search ends: a large request at the head must
+not block small ones for good, and a search must not try the whole queue."""
 
 
 @dataclass(slots=True)
-class _Line:
-    line: WaitingLine
+class _QueueState:
+    """The waiting requests of one service.
+
+    :param waiters: futures that receive the chains, by ticket number.
+    :param service: as configured when the last request asked for a chain.
+    :param task: searches for room as long as requests wait.
+    """
+
+    queue: WaitingLine
     waiters: dict[int, asyncio.Future[Chain]]
     service: ServiceSpec
     task: asyncio.Task[None] | None = None
 
 
 class Admission:
-    """The lines of all services at this host."""
+    """Admits model requests to chains, with one queue for each service."""
 
     def __init__(self, planner: ChainPlanner, clock: Clock) -> None:
         self._planner = planner
         self._clock = clock
-        self._lines: dict[ServiceName, _Line] = {}
+        self._queues: dict[ServiceName, _QueueState] = {}
 
     def count_waiting(self) -> int:
-        """Return the requests that wait."""
-        return sum(len(item.waiters) for item in self._lines.values())
+        """Return the number of waiting requests, over all services."""
+        return sum(len(item.waiters) for item in self._queues.values())
 
     async def acquire(
         self,
         service: ServiceSpec,
         tokens: int,
         priority: int,
-        patience: float,
+        max_wait: float,
         avoid: frozenset[TargetId] = frozenset(),
         is_new: bool = True,
     ) -> Chain | None:
-        """Return a chain that is counted as held, or ``None`` if none is free in time.
+        """Reserve room for a request on a chain and return the chain.
+
+        Returns ``None`` if no chain has room in time, and at once if the expected wait
+        is longer than the request may wait. The room is freed by
+        :meth:`ChainPlanner.release`.
 
-        :param patience: longest wait in seconds.
+        :param tokens: context that the request is expected to reach.
+        :param priority: rank; 0 comes first.
+        :param max_wait: longest wait in seconds.
         :param avoid: targets that have just failed the request.
-        :param is_new: its caller has no part of an answer yet.
+        :param is_new: its caller has received no part of an answer yet.
         """
-        state = self._get_line(service)
+        state = self._get_queue(service)
         now = self._clock.monotonic()
-        ticket = state.line.make_ticket(priority, tokens, avoid, is_new)
-        if not state.line.tickets or ticket < state.line.tickets[0]:
-            chain = self._try(state, ticket)
+        ticket = state.queue.make_ticket(priority, tokens, avoid, is_new)
+        if not state.queue.tickets or ticket < state.queue.tickets[0]:
+            chain = self._try_admit(state, ticket)
             if chain is not None:
                 return chain
-        if state.line.estimate_wait(ticket, now) > patience:
+        if state.queue.estimate_wait(ticket, now) > max_wait:
             return None
-        return await self._wait(state, ticket, patience)
+        return await self._wait(state, ticket, max_wait)
 
     async def _wait(
-        self, state: _Line, ticket: Ticket, patience: float
+        self, state: _QueueState, ticket: Ticket, max_wait: float
     ) -> Chain | None:
         future: asyncio.Future[Chain]
         future = asyncio.get_running_loop().create_future()
-        state.line.join(ticket)
+        state.queue.join(ticket)
         state.waiters[ticket.number] = future
         if state.task is None:
-            state.task = asyncio.create_task(self._run(state))
+            state.task = asyncio.create_task(self._poll(state))
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(max_wait):
                 return await future
         except TimeoutError:
             granted = future.done() and not future.cancelled()
@@ -84,43 +97,46 @@
                 self._planner.release(future.result().stages, ticket.tokens)
             raise
         finally:
-            state.line.leave(ticket)
+            state.queue.leave(ticket)
             state.waiters.pop(ticket.number, None)
 
-    async def _run(self, state: _Line) -> None:
-        """Look for room again and again while somebody waits."""
+    async def _poll(self, state: _QueueState) -> None:
+        """Search for room periodically while requests wait."""
         while state.waiters:
-            self._look(state)
-            await asyncio.sleep(LOOK_SECONDS)
+            self._admit_waiting(state)
+            await asyncio.sleep(POLL_SECONDS)
         state.task = None
 
-    def _look(self, state: _Line) -> None:
+    def _admit_waiting(self, state: _QueueState) -> None:
+        """Give chains to the waiting requests for which there is room."""
         failed = 0
-        for ticket in list(state.line.tickets):
+        for ticket in list(state.queue.tickets):
             waiter = state.waiters.get(ticket.number)
             if waiter is None or waiter.done():
                 continue
-            chain = self._try(state, ticket)
+            chain = self._try_admit(state, ticket)
             if chain is None:
                 failed += 1
-                if failed >= TRIES:
+                if failed >= MAX_FAILED_TRIES:
                     return
                 continue
-            state.line.leave(ticket)
+            state.queue.leave(ticket)
             waiter.set_result(chain)
 
-    def _try(self, state: _Line, ticket: Ticket) -> Chain | None:
+    def _try_admit(self, state: _QueueState, ticket: Ticket) -> Chain | None:
+        """Reserve room on a chain, or return ``None`` if no chain has room."""
         chain = self._planner.find(
             state.service, ticket.tokens, ticket.avoid, ticket.is_new
         )
         if chain is not None:
             self._planner.take(state.service, chain, ticket.tokens)
-            state.line.note_admitted(self._clock.monotonic())
+            state.queue.note_admitted(self._clock.monotonic())
         return chain
 
-    def _get_line(self, service: ServiceSpec) -> _Line:
-        state = self._lines.get(service.name)
+    def _get_queue(self, service: ServiceSpec) -> _QueueState:
+        """Return the queue of a service, creating it at its first use."""
+        state = self._queues.get(service.name)
         if state is None:
-            state = self._lines[service.name] = _Line(WaitingLine(), {}, service)
+            state = self._queues[service.name] = _QueueState(WaitingLine(), {}, service)
         state.service = service
         return state
--- a/marigoldswitch/gateway/fronts.py
+++ b/marigoldswitch/gateway/fronts.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests over HTTP and runs each to its end."""
+"""HTTP frontend of a gateway host: takes callers' requests and runs each to its end."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -33,45 +33,48 @@
 
 logger = structlog.get_logger(__name__)
 
-BODY_SECONDS = 10.0
-"""Longest time for a request's body; callers on the usual links take milliseconds."""
+BODY_TIMEOUT_SECONDS = 10.0
+"""Longest time to receive a request body. On usual links it takes milliseconds."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 class Front:
-    """Runs callers' requests; each gets exactly one end."""
+    """Handles callers' requests; each one ends exactly once.
+
+    :ivar streams: running requests that are handled as streams.
+    """
 
     def __init__(self, parts: RunParts, metrics: GatewayMetrics) -> None:
         self.streams: set[StreamRun] = set()
         self._parts = parts
         self._metrics = metrics
         self._selectors = PlainSelectors(parts)
-        self._connections: set[object] = set()
-        """Connections with a request under way; each has one at a time."""
+        self._busy_connections: set[object] = set()
+        """Connections with a running request; each has at most one at a time."""
         self._idle = asyncio.Event()
         self._idle.set()
 
     @property
     def busy(self) -> int:
-        """Return the requests under way."""
-        return len(self._connections)
+        """Return the number of running requests."""
+        return len(self._busy_connections)
 
     def is_busy(self, connection: object) -> bool:
-        """Tell whether a request is under way on a connection."""
-        return connection in self._connections
+        """Tell whether a request is running on a connection."""
+        return connection in self._busy_connections
 
     async def wait_idle(self) -> None:
-        """Wait until no request is under way."""
+        """Wait until no request is running."""
         await self._idle.wait()
 
     def alarm_streams(self, target: str) -> None:
-        """Have all streams through an engine look after their chains."""
+        """Make every stream through an engine check its chain at once."""
         for run in self.list_streams(target):
             run.chain.alarm()
 
     def list_streams(self, target: str) -> list[StreamRun]:
-        """Return the streams through an engine."""
+        """Return the running streams whose chain contains an engine."""
         return [
             run
             for run in self.streams
@@ -79,14 +82,18 @@
         ]
 
     async def handle(self, http: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
-        self._connections.add(http.protocol)
+        """Answer one request.
+
+        While the host is draining, the connection is closed after an answer whose head
+        has not been sent yet.
+        """
+        self._busy_connections.add(http.protocol)
         self._idle.clear()
         try:
             response = await self._answer(http)
         finally:
-            self._connections.discard(http.protocol)
-            if not self._connections:
+            self._busy_connections.discard(http.protocol)
+            if not self._busy_connections:
                 self._idle.set()
         if self._parts.state.draining and not response.prepared:
             response.force_close()
@@ -96,45 +103,48 @@
         arrived = self._parts.clock.monotonic()
         match self._parts.codec.read_call(http.method, http.raw_path, http.headers):
             case Err(why):
-                return self._refuse(None, Fault(ErrorKind.MALFORMED, why))
+                return self._build_refusal(None, Fault(ErrorKind.MALFORMED, why))
             case Ok(call):
                 pass
         exchange: Exchange | None = None
         try:
-            exchange = await self._open(http, call, arrived)
+            exchange = await self._create_exchange(http, call, arrived)
             return await self._run(exchange)
         except Refused as refused:
-            return self._end_refused(call, exchange, refused.fault)
+            return self._finish_refused(call, exchange, refused.fault)
         except BrokenOff as broken:
             assert exchange is not None and exchange.response is not None
-            self._log_end(exchange, f"broken off: {broken}")
+            self._record_end(exchange, f"broken off: {broken}")
             return exchange.response
         except CallerGone:
             assert exchange is not None and exchange.response is not None
-            self._log_end(exchange, "caller gone")
+            self._record_end(exchange, "caller gone")
             return exchange.response
         except asyncio.CancelledError:
             if exchange is not None:
-                self._log_end(exchange, "caller gone")
+                self._record_end(exchange, "caller gone")
             raise
         except Exception:
             logger.exception("internal_fault", request=call.id)
             if exchange is None or exchange.response is None:
                 fault = Fault(ErrorKind.INTERNAL)
-                return self._end_refused(call, exchange, fault)
+                return self._finish_refused(call, exchange, fault)
             abort(exchange)
-            self._log_end(exchange, "broken off: internal fault")
+            self._record_end(exchange, "broken off: internal fault")
             return exchange.response
 
-    async def _open(
+    async def _create_exchange(
         self, http: web.BaseRequest, call: Call, arrived: float
     ) -> Exchange:
-        """Decide on a request by the configuration in force.
+        """Read a request's body and look up its route, client account and service.
 
-        :raises Refused: if it has no place in it.
+        :param arrived: when the request head had been read, in monotonic seconds.
+        :raises Refused: if the host takes no requests, the body is not acceptable, the
+            current configuration does not allow the request, or it is held off.
         """
         table = self._parts.directory.table
-        # Read before any answer: bytes left unread would reset the connection under it.
+        # The body is read even for a request that is refused: closing a connection with
+        # unread bytes resets it, and the caller may lose the answer.
         body = await self._read_body(http, table.limits if table else ClientLimits())
         if not self._parts.state.accepting:
             raise Refused(Fault(ErrorKind.DRAINING))
@@ -170,16 +180,16 @@
         if not http.can_read_body:
             return b""
         try:
-            async with asyncio.timeout(BODY_SECONDS):
+            async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
                 body = await http.content.read(limits.body_bytes + 1)
                 while not http.content.at_eof():
-                    more = await http.content.read(limits.body_bytes)
-                    body += more
+                    chunk = await http.content.read(limits.body_bytes)
+                    body += chunk
                     if len(body) > limits.body_bytes:
                         raise Refused(Fault(ErrorKind.TOO_LARGE))
         except TimeoutError:
             raise Refused(
-                Fault(ErrorKind.MALFORMED, "the body came too slowly")
+                Fault(ErrorKind.MALFORMED, "the request body was not received in time")
             ) from None
         except web.RequestPayloadError as error:
             raise Refused(Fault(ErrorKind.MALFORMED, str(error))) from error
@@ -188,27 +198,32 @@
         return body
 
     async def _run(self, exchange: Exchange) -> web.StreamResponse:
-        """Run a request; its caller has a final answer at its deadline.
+        """Run a request until its deadline at the latest.
 
-        :raises Refused: if no answer of a target has begun.
+        :raises Refused: if it fails before any part of an answer was sent.
+        :raises BrokenOff: if the answer had begun and was cut off.
         """
-        left = exchange.deadline - self._parts.clock.monotonic()
+        remaining = exchange.deadline - self._parts.clock.monotonic()
         try:
-            async with asyncio.timeout(max(0.0, left)):
-                response = await self._drive(exchange)
+            async with asyncio.timeout(max(0.0, remaining)):
+                response = await self._dispatch(exchange)
         except TimeoutError:
             if exchange.response is None:
                 raise Refused(describe_timeout(exchange)) from None
             abort(exchange)
             raise BrokenOff("its time was up") from None
-        self._log_end(exchange, f"answered {response.status}")
+        self._record_end(exchange, f"answered {response.status}")
         return response
 
-    async def _drive(self, exchange: Exchange) -> web.StreamResponse:
+    async def _dispatch(self, exchange: Exchange) -> web.StreamResponse:
+        """Run a request as a stream or as a plain request.
+
+        Requests of model services and of stream routes run as streams.
+        """
         is_model = exchange.service.model is not None
         if not is_model and exchange.route.kind is not RouteKind.STREAM:
             selector = self._selectors.get(exchange.service.name)
-            return await PlainRun(self._parts, exchange, selector).drive()
+            return await PlainRun(self._parts, exchange, selector).run()
         run = StreamRun(self._parts, exchange)
         self.streams.add(run)
         try:
@@ -216,13 +231,17 @@
         finally:
             self.streams.discard(run)
 
-    # Ends.
+    # Recording how requests end.
 
-    def _end_refused(
+    def _finish_refused(
         self, call: Call, exchange: Exchange | None, fault: Fault
     ) -> web.StreamResponse:
+        """Record a refused request and return its error answer.
+
+        :param exchange: ``None`` if :meth:`_create_exchange` refused it.
+        """
         if exchange is not None:
-            self._log_end(exchange, f"{fault.kind.value}: {fault.detail}", fault)
+            self._record_end(exchange, f"{fault.kind.value}: {fault.detail}", fault)
         else:
             self._metrics.count_end("", fault.kind.value, None)
             logger.info(
@@ -233,10 +252,13 @@
                 path=call.path,
                 version=self._parts.directory.version,
             )
-        return self._refuse(call, fault)
+        return self._build_refusal(call, fault)
+
+    def _build_refusal(self, call: Call | None, fault: Fault) -> web.StreamResponse:
+        """Return an error answer made by this host.
 
-    def _refuse(self, call: Call | None, fault: Fault) -> web.StreamResponse:
-        """Return an answer of our own."""
+        :param call: ``None`` if the request could not be decoded.
+        """
         row = fault.row
         body = orjson.dumps({"error": fault.kind.value, "message": row.meaning})
         headers = self._parts.codec.write_refusal(call, fault.wait)
@@ -247,12 +269,17 @@
             content_type="application/json",
         )
 
-    def _log_end(
+    def _record_end(
         self, exchange: Exchange, end: str, fault: Fault | None = None
     ) -> None:
-        took = self._parts.clock.monotonic() - exchange.arrived
+        """Log and count the end of a request.
+
+        :param end: how it ended, for the log line.
+        :param fault: the error that the caller was answered with, if any.
+        """
+        elapsed = self._parts.clock.monotonic() - exchange.arrived
         name = str(exchange.service.name)
-        self._metrics.count_end(name, fault.kind.value if fault else "passed", took)
+        self._metrics.count_end(name, fault.kind.value if fault else "passed", elapsed)
         logger.info(
             "request_ended",
             request=exchange.call.id,
@@ -261,7 +288,7 @@
             account=exchange.account,
             end=end,
             retry_after=fault.wait if fault else None,
-            took=round(took, 4),
+            took=round(elapsed, 4),
             first_event=_round(exchange.first_event),
             longest_gap=_round(exchange.longest_gap),
             sent=exchange.sent,
@@ -277,9 +304,11 @@
 def _find_account(
     table: RoutingTable, route: Route, call: Call
 ) -> RoutedAccount | None:
-    """Return the client account of a caller; ``None`` where no key is needed.
+    """Return the client account of a caller's key.
+
+    Returns ``None`` for a missing or unknown key where the route needs none.
 
-    :raises Refused: if a key is needed and not known.
+    :raises Refused: if the route needs a key and the caller's is missing or unknown.
     """
     account = table.accounts.get(call.key) if call.key else None
     if account is None and table.needs_keys and not route.is_public:
--- a/marigoldswitch/gateway/metrics.py
+++ b/marigoldswitch/gateway/metrics.py
@@ -1,19 +1,22 @@
-"""Metrics of a gateway, in the registry that all metrics of a host share."""
+"""Request metrics of a gateway, kept in the metrics registry of its host."""
 
 from marigoldswitch.metrics import Metrics
 
 
 class GatewayMetrics:
-    """Counts the ends of requests; a counter never waits for anything."""
+    """Records how requests end. Recording never blocks."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def count_end(self, service: str, end: str, seconds: float | None) -> None:
-        """Count one request.
+        """Count one request that has ended.
 
-        :param end: ``passed`` for a target's answer, else an error kind.
-        :param seconds: from its arrival to its end, where it was opened at all.
+        :param service: name of its service; empty if it was refused on arrival.
+        :param end: error kind if the host refused the request, else ``passed``, even if
+            the answer was broken off.
+        :param seconds: from its arrival to its end; ``None`` if it was refused on
+            arrival.
         """
         self._metrics.requests.inc({"service": service, "end": end})
         if seconds is not None:
--- a/marigoldswitch/gateway/plain.py
+++ b/marigoldswitch/gateway/plain.py
@@ -1,4 +1,4 @@
-"""Runs a request of a plain service: one target, another where that is allowed."""
+"""Runs requests of plain services, with retries and hedging where these are allowed."""
 
 import asyncio
 
@@ -26,30 +26,31 @@
 
 logger = structlog.get_logger(__name__)
 
-MOST_UNREACHABLE = 3
-"""Targets that can't be connected to before the caller is told so."""
-HEDGE_FACTOR = 4.0
-"""An answer that takes this many times the usual is asked of a second target as well,
-where the request may run twice: its own target may never answer."""
-LEAST_HEDGE = 0.1
-"""Seconds below which no second target is asked: a queue of a few is no fault."""
-RETURN_SECONDS = (0.05, 0.2)
-"""Bounds of the time after which a caller is told to come back: what runs ends within
-some 25 ms, and callers wait a second in all."""
-UNTRUE_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses by which callers take a request as not run. A target that gives one without
-saying so may have run it: where it may run only once, callers must not believe that."""
+MAX_UNREACHABLE_TARGETS = 3
+"""Failed connection attempts, each to another target, after which a request fails."""
+HEDGE_DELAY_FACTOR = 4.0
+"""A hedge is sent after this many times the expected answer time: the first target may
+never answer. Only requests that may run more than once are hedged."""
+MIN_HEDGE_DELAY_SECONDS = 0.1
+"""Least delay of a hedge: waiting behind a few other requests is no sign of a fault."""
+RETRY_AFTER_SECONDS = (0.05, 0.2)
+"""Bounds of the ``Retry-After`` time in seconds: running requests end within about
+25 ms, and callers wait one second in total."""
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that tell callers that a request has not run. A target that sends one
+without a not-run promise may have run the request: for requests that may run only once,
+such an answer is not passed on."""
 
 
 class PlainSelectors:
-    """The selectors of all plain services."""
+    """Keeps one target selector for each plain service."""
 
     def __init__(self, parts: RunParts) -> None:
         self._parts = parts
         self._selectors: dict[ServiceName, PlainSelector] = {}
 
     def get(self, service: ServiceName) -> PlainSelector:
-        """Return the selector of a service."""
+        """Return the selector of a service, creating it at its first use."""
         selector = self._selectors.get(service)
         if selector is None:
             home = DataCentre(self._parts.home)
@@ -59,7 +60,7 @@
 
 
 class PlainRun:
-    """One request of a plain service from its first target to its end."""
+    """Runs one request of a plain service."""
 
     def __init__(
         self, parts: RunParts, exchange: Exchange, selector: PlainSelector
@@ -68,77 +69,90 @@
         self._exchange = exchange
         self._selector = selector
         self._tried: set[TargetId] = set()
-        self._unreachable = 0
+        self._unreachable_count = 0
         self._fallback: Answered | None = None
-        """A failure of a target, to be passed on if nothing better comes."""
+        """The last 5xx answer, passed on if no other target gives a better one."""
 
-    async def drive(self) -> web.StreamResponse:
+    async def run(self) -> web.StreamResponse:
         """Run the request to its end.
 
-        :raises Refused: if no answer of a target is passed on.
+        :raises Refused: if there is no answer of a target to pass on.
         """
         try:
-            return self._pass_on(await self._find_answer())
+            return self._build_response(await self._find_answer())
         except Refused:
             if self._fallback is None:
                 raise
-            return self._pass_on(self._fallback)
+            return self._build_response(self._fallback)
 
     async def _find_answer(self) -> Answered:
+        """Send the request to one target after another until one answers.
+
+        Sendings that are still running at the end are cancelled.
+
+        :raises Refused: if the request may not be sent again or no target is left.
+        """
         pending: set[asyncio.Task[SendEnd | None]] = set()
         try:
             while True:
                 pending.add(asyncio.ensure_future(self._send_next(bool(pending))))
-                answer = await self._await_any(pending)
+                answer = await self._await_answer(pending)
                 if answer is not None:
                     return answer
         finally:
             for task in pending:
                 task.cancel()
 
-    async def _await_any(
+    async def _await_answer(
         self, pending: set[asyncio.Task[SendEnd | None]]
     ) -> Answered | None:
-        """Return an answer to pass on, or ``None`` when another target may be asked."""
+        """Wait for running sendings.
+
+        Returns an answer to pass on, or ``None`` when the request is to be sent to one
+        more target: all sendings have failed, or the hedge delay is over.
+        """
         while pending:
-            hedge = self._choose_hedge(len(pending))
+            hedge_delay = self._choose_hedge_delay(len(pending))
             done, _ = await asyncio.wait(
-                pending, timeout=hedge, return_when=asyncio.FIRST_COMPLETED
+                pending, timeout=hedge_delay, return_when=asyncio.FIRST_COMPLETED
             )
-            if not done and self._may_repeat() and self._spend():
+            if not done and self._may_retry() and self._spend_retry():
                 return None
             for task in done:
                 pending.discard(task)
-                answer = self._judge(task.result())
+                answer = self._process_end(task.result())
                 if answer is not None:
                     return answer
         return None
 
-    def _choose_hedge(self, pending: int) -> float | None:
-        """Return the seconds after which a second target is asked, if any."""
+    def _choose_hedge_delay(self, pending: int) -> float | None:
+        """Return the seconds after which to send a hedge, or ``None`` for no hedge.
+
+        There is none while the first sending has not chosen its target.
+        """
         exchange = self._exchange
         if pending > 1 or not exchange.route.is_idempotent:
             return None
         if exchange.sent >= exchange.route.most_targets or not self._tried:
             return None
         now = self._parts.clock.monotonic()
-        usual = min(self._selector.estimate(item, now) for item in self._tried)
-        return max(LEAST_HEDGE, HEDGE_FACTOR * usual)
+        expected = min(self._selector.estimate(item, now) for item in self._tried)
+        return max(MIN_HEDGE_DELAY_SECONDS, HEDGE_DELAY_FACTOR * expected)
 
-    async def _send_next(self, is_second: bool) -> SendEnd | None:
-        """Send the request to a target that has not had it.
+    async def _send_next(self, is_hedge: bool) -> SendEnd | None:
+        """Send the request to a target that it has not been sent to.
 
-        :param is_second: another target has it already; ``None`` is returned where
-            there is no other.
-        :raises Refused: if there is none.
+        :param is_hedge: another sending is still running; ``None`` is then returned if
+            no target is left.
+        :raises Refused: if no target is left and this is no hedge.
         """
         exchange, parts = self._exchange, self._parts
         now = parts.clock.monotonic()
-        target = self._choose(now)
+        target = self._choose_target(now)
         if target is None:
-            if is_second:
+            if is_hedge:
                 return None
-            raise Refused(self._describe_end("no target left"))
+            raise Refused(self._build_fault("no target left"))
         self._tried.add(target.id)
         exchange.sent += 1
         exchange.ran += 1
@@ -147,11 +161,13 @@
         sending = Sending(
             target.id, exchange.deadline - now, exchange.account, exchange.priority
         )
-        fresh = needs_own_connection(parts, exchange)
+        own_connection = needs_own_connection(parts, exchange)
         end: SendEnd = Lost("cancelled")
         try:
             call, body = exchange.call, exchange.body
-            end = await parts.upstream.exchange(target, call, body, sending, fresh)
+            end = await parts.upstream.exchange(
+                target, call, body, sending, own_connection
+            )
             if isinstance(end, Lost) and end.is_stale and may_resend(parts, exchange):
                 end = await parts.upstream.exchange(target, call, body, sending, True)
             if isinstance(end, Lost):
@@ -159,61 +175,67 @@
             return end
         finally:
             parts.loads.release(target.id, usage)
-            self._learn(target, end, now)
+            self._record_attempt(target, end, now)
 
-    def _choose(self, now: float) -> Target | None:
+    def _choose_target(self, now: float) -> Target | None:
+        """Choose a target; suspects are used only if there are no others."""
         parts, service = self._parts, self._exchange.service.name
         targets = parts.directory.registry.list_targets(service)
-        near = [
+        available = [
             item
             for item in targets
             if not parts.directory.suspects.is_out(item.id, now)
         ]
-        return self._selector.choose(near or targets, parts.loads, self._tried, now)
+        return self._selector.choose(
+            available or targets, parts.loads, self._tried, now
+        )
 
-    def _learn(self, target: Target, end: SendEnd, began: float) -> None:
-        """Log how a sending ended and learn from it."""
+    def _record_attempt(self, target: Target, end: SendEnd, started: float) -> None:
+        """Log the end of a sending and update what is known of its target.
+
+        :param started: when it began, in monotonic seconds.
+        """
         exchange, parts = self._exchange, self._parts
         now = parts.clock.monotonic()
-        took = now - began
+        elapsed = now - started
         match end:
             case Answered(status, _, _, facts) if facts.not_run:
-                what = f"refused {status}"
+                outcome = f"refused {status}"
                 self._selector.note_refusal(target.id, now)
             case Answered(status) if status >= 500:
-                what = f"failed {status}"
-                self._selector.note_failure(target.id, took, now)
+                outcome = f"failed {status}"
+                self._selector.note_failure(target.id, elapsed, now)
             case Answered(status):
-                what = f"answered {status}"
-                self._selector.note_answer(target.id, took, now)
+                outcome = f"answered {status}"
+                self._selector.note_answer(target.id, elapsed, now)
             case NotSent(why, refused):
-                what = f"not sent: {why}"
+                outcome = f"not sent: {why}"
                 if refused:
                     parts.directory.suspects.note(target.id, Finding.DEAD, now)
                 else:
-                    # Its opening packet may have been lost; what is called dead here is
-                    # left out by other hosts as well.
+                    # Not marked as dead, as its opening packet may just have been lost:
+                    # other hosts also leave out a target that is marked as dead here.
                     parts.directory.suspects.note(target.id, Finding.FAILED, now)
                     parts.probes.check_later(target)
             case Lost(why):
-                what = f"lost: {why}"
-                self._selector.note_failure(target.id, took, now)
-        exchange.trail.append(f"{target.id}: {what}")
+                outcome = f"lost: {why}"
+                self._selector.note_failure(target.id, elapsed, now)
+        exchange.trail.append(f"{target.id}: {outcome}")
         logger.info(
             "target_tried",
             request=exchange.call.id,
             service=exchange.service.name,
             target=target.id,
             held=parts.loads.get(target.id).requests,
-            end=what,
-            took=round(took, 4),
+            end=outcome,
+            took=round(elapsed, 4),
             revision=parts.directory.registry.revision,
         )
 
-    def _judge(self, end: SendEnd | None) -> Answered | None:
-        """Return an answer that is to be passed on.
+    def _process_end(self, end: SendEnd | None) -> Answered | None:
+        """Return the answer if it is to be passed on, or ``None`` to go on.
 
-        :raises Refused: if the request must end without one.
+        :raises Refused: if the request failed and may not be sent again.
         """
         exchange, parts = self._exchange, self._parts
         match end:
@@ -222,59 +244,71 @@
             case NotSent(why):
                 exchange.ran -= 1
                 exchange.sent -= 1
-                self._unreachable += 1
-                if self._unreachable >= MOST_UNREACHABLE:
-                    raise Refused(self._describe_end(why))
+                self._unreachable_count += 1
+                if self._unreachable_count >= MAX_UNREACHABLE_TARGETS:
+                    raise Refused(self._build_fault(why))
                 return None
             case Lost(why):
                 check_hold(parts, exchange)
-                self._check_repeat(ErrorKind.TARGET_LOST, why)
+                self._require_retry(ErrorKind.TARGET_LOST, why)
                 return None
             case Answered(facts=facts) if facts.not_run:
                 exchange.ran -= 1
                 if facts.wrong_target:
                     exchange.sent -= 1
-                self._check_repeat(ErrorKind.TARGET_REFUSED, "refused")
+                self._require_retry(ErrorKind.TARGET_REFUSED, "refused")
                 return None
             case Answered(status) if status >= 500:
                 self._fallback = end
-                if not self._may_repeat() or not self._spend():
+                if not self._may_retry() or not self._spend_retry():
                     return end
                 return None
         if not end.facts.is_signed or end.facts.is_encoded:
-            self._check_repeat(ErrorKind.TARGET_FAULT, "not the target's answer")
+            self._require_retry(ErrorKind.TARGET_FAULT, "answer unsigned or encoded")
             return None
         return end
 
-    def _may_repeat(self) -> bool:
-        """Tell whether the request may go to one more target."""
+    def _may_retry(self) -> bool:
+        """Tell whether the route allows sending the request to one more target."""
         exchange = self._exchange
         if exchange.sent >= exchange.route.most_targets:
             return False
         return exchange.route.is_idempotent or exchange.ran == 0
 
-    def _spend(self) -> bool:
-        """Take a repeat out of the budget; tell whether there was one."""
+    def _spend_retry(self) -> bool:
+        """Take one retry out of the service's budget; tell whether there was one."""
         budget = self._parts.retries.get(self._exchange.service.name)
         return budget.spend(self._parts.clock.monotonic())
 
-    def _check_repeat(self, kind: ErrorKind, why: str) -> None:
-        if not self._may_repeat() or not self._spend():
-            raise Refused(self._describe_end(why, kind))
+    def _require_retry(self, kind: ErrorKind, why: str) -> None:
+        """Take one retry out of the service's budget.
+
+        :raises Refused: if the request may not be sent again.
+        """
+        if not self._may_retry() or not self._spend_retry():
+            raise Refused(self._build_fault(why, kind))
+
+    def _build_fault(self, why: str, kind: ErrorKind = ErrorKind.NO_TARGET) -> Fault:
+        """Return the error for a request that no target has answered.
 
-    def _describe_end(self, why: str, kind: ErrorKind = ErrorKind.NO_TARGET) -> Fault:
-        """Return the answer to a request that no target has answered."""
+        If the request may have run, its kind is ``TARGET_LOST`` whatever ``kind`` is.
+        """
         if self._exchange.ran > 0:
             return Fault(ErrorKind.TARGET_LOST, why)
         if kind is ErrorKind.TARGET_LOST:
             kind = ErrorKind.NOT_DELIVERED
-        return Fault(kind, why, self._parts.source.uniform(*RETURN_SECONDS))
+        return Fault(kind, why, self._parts.source.uniform(*RETRY_AFTER_SECONDS))
 
-    def _pass_on(self, answer: Answered) -> web.StreamResponse:
+    def _build_response(self, answer: Answered) -> web.StreamResponse:
+        """Return the response that passes a target's answer on to the caller.
+
+        :raises Refused: if callers would take its status to mean that the request has
+            not run, while it may run only once.
+        """
         exchange = self._exchange
-        untrue = answer.status in UNTRUE_STATUSES
-        if untrue and not exchange.route.is_idempotent:
-            detail = f"status {answer.status} without saying that it has not run"
+        implies_not_run = answer.status in NOT_RUN_STATUSES
+        if implies_not_run and not exchange.route.is_idempotent:
+            detail = f"status {answer.status} without a not-run promise"
             raise Refused(Fault(ErrorKind.TARGET_FAULT, detail))
         parts = self._parts
         if answer.status < 500:
--- a/marigoldswitch/tests/gateway_site.py
+++ b/marigoldswitch/tests/gateway_site.py
@@ -99,20 +99,20 @@
         await self.wait(lambda: all(host.is_ready for host in self.hosts))
 
     async def add_engine(
-        self, name: str, centre: str, held: tuple[int, int] | None = None
+        self, name: str, data_centre: str, held: tuple[int, int] | None = None
     ) -> EngineStandin:
         """Start an engine and enter it in the store."""
         engine = EngineStandin(name, self.engines)
         engine.held = held
         await engine.start()
-        self.enter(engine, "model", centre)
+        self.enter(engine, "model", data_centre)
         return engine
 
     def enter(
         self,
         target: TargetStandin,
         service: str,
-        centre: str,
+        data_centre: str,
         phase: str = "ready",
         name: str | None = None,
     ) -> None:
@@ -124,7 +124,7 @@
         row = {
             "service": service,
             "address": target.address,
-            "zone": centre,
+            "zone": data_centre,
             "version": "v1",
             "slots": 96,
             "phase": phase,
@@ -138,7 +138,7 @@
         self.store.put("servers", name or target.name, row)
 
     async def add_host(
-        self, name: str, centre: str, seeds: tuple[str, ...] = ()
+        self, name: str, data_centre: str, seeds: tuple[str, ...] = ()
     ) -> GatewayHost:
         """Start a gateway host.
 
@@ -149,7 +149,7 @@
         ports = (item.getsockname()[1] for item in reserved)
         callers, readiness, peers = (f"127.0.0.1:{port}" for port in ports)
         settings = HostSettings(
-            Identity(peers, name, centre, "isle"),
+            Identity(peers, name, data_centre, "isle"),
             Addresses(callers, readiness, peers),
             seeds,
             stop_seconds=3.0,
@@ -215,10 +215,10 @@
 
     It listens to nothing itself; as long as it is open, nobody else is given the port.
     """
-    reserved = socket.socket()
-    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    reserved.bind(("127.0.0.1", 0))
-    return reserved
+    bound = socket.socket()
+    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bound.bind(("127.0.0.1", 0))
+    return bound
 
 
 @contextlib.asynccontextmanager
