--- a/marigoldswitch/tests/gateway_site.py
+++ b/marigoldswitch/tests/gateway_site.py
@@ -1,4 +1,4 @@
-"""A small platform of stand-ins with gateway hosts on it, for tests."""
+"""Test fixture: gateway hosts on a small platform of stand-ins."""
 
 import asyncio
 import contextlib
@@ -73,7 +73,11 @@
 
 
 class Site:
-    """Store, targets and hosts on loopback."""
+    """Runs a store, targets and gateway hosts on loopback addresses.
+
+    :ivar desks: targets of the plain service, which is named ``desk``.
+    :ivar client: session that sends the callers' requests.
+    """
 
     def __init__(self) -> None:
         self.store = StoreStandin()
@@ -84,7 +88,10 @@
         self._reserved: list[socket.socket] = []
 
     async def start(self, engines: int, desks: int, hosts: int) -> None:
-        """Start everything and wait until callers can be served."""
+        """Start everything and wait until all hosts are ready.
+
+        Engines, desks and hosts are spread evenly over the data centres.
+        """
         await self.store.start()
         self.store.put("op", "config", build_configuration())
         for index in range(engines):
@@ -101,7 +108,10 @@
     async def add_engine(
         self, name: str, data_centre: str, held: tuple[int, int] | None = None
     ) -> EngineStandin:
-        """Start an engine and enter it in the store."""
+        """Start an engine and write its row to the store.
+
+        :param held: first and end of the layers that it holds, if any.
+        """
         engine = EngineStandin(name, self.engines)
         engine.held = held
         await engine.start()
@@ -116,9 +126,9 @@
         phase: str = "ready",
         name: str | None = None,
     ) -> None:
-        """Write a target's row.
+        """Write a target's row to the store.
 
-        :param name: the row's key; its own name where it is left out.
+        :param name: key of the row; the target's own name by default.
         """
         held = getattr(target, "held", None)
         row = {
@@ -142,7 +152,7 @@
     ) -> GatewayHost:
         """Start a gateway host.
 
-        :param seeds: peer listeners of other hosts, as its settings name them.
+        :param seeds: addresses of the peer listeners of other hosts.
         """
         reserved = [_reserve_port() for _ in range(3)]
         self._reserved += reserved
@@ -172,13 +182,13 @@
             reserved.close()
 
     async def wait(self, condition, seconds: float = 10.0) -> None:
-        """Wait until something holds."""
+        """Wait until a condition is true, checking it every 10 ms."""
         async with asyncio.timeout(seconds):
             while not condition():
                 await asyncio.sleep(0.01)
 
     async def wait_for_layout(self) -> None:
-        """Wait until all hosts know engines for every layer."""
+        """Wait until, at every host, all engines that it knows hold layers."""
         await self.wait(
             lambda: all(
                 all(item.layers is not None for item in _list_engines(host))
@@ -187,7 +197,11 @@
         )
 
     def call(self, path: str, number: int, host: int = 0, **fields):
-        """Begin a caller's request; to be used as a context."""
+        """Start a caller's request; use the result as an async context manager.
+
+        :param number: makes the id of the request.
+        :param host: index of the host that gets it.
+        """
         headers = {
             "Host": "drafts.example",
             "Attempt-Id": f"try-{number}",
@@ -211,9 +225,9 @@
 
 
 def _reserve_port() -> socket.socket:
-    """Return a socket that keeps a port of the kernel's choice for a listener.
+    """Return a bound socket that reserves a free port for a listener.
 
-    It listens to nothing itself; as long as it is open, nobody else is given the port.
+    It does not listen; while it is open, the kernel gives the port to nobody else.
     """
     bound = socket.socket()
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -225,7 +239,7 @@
 async def run_site(
     engines: int = 0, desks: int = 0, hosts: int = 1
 ) -> AsyncIterator[Site]:
-    """Run a platform with hosts on it."""
+    """Run a site of stand-ins and hosts, and stop it at the end."""
     site = Site()
     try:
         await site.start(engines, desks, hosts)
@@ -235,27 +249,27 @@
 
 
 def list_ids(body: bytes) -> list[int]:
-    """Return the ids of the events of a stream."""
+    """Return the ids of the events in the body of a stream."""
     lines = body.decode().splitlines()
     return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
 
 ALL_EVENTS = list(range(1, 21))
-"""Ids of the events of an undisturbed stream."""
+"""Ids of the events of a stream without faults."""
 
 
 def run(scenario):
-    """Play a scenario."""
+    """Run a scenario to its end in an event loop of its own."""
     asyncio.run(scenario)
 
 
 def check_layers(site):
-    """Every token ran every layer once, in order."""
+    """Assert that every event passed every layer once, in order."""
     for record in site.engines.streams:
         for layers in record.passed:
             assert layers == list(range(LAYERS))
 
 
 def get_targets(site):
-    """Return the targets that the first host knows."""
+    """Return the targets in the registry of the first host, by id."""
     return site.hosts[0].parts.runs.directory.registry.targets
--- a/marigoldswitch/tests/test_gateway.py
+++ b/marigoldswitch/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The whole path on stand-ins: callers, hosts, store, engines and a plain service."""
+"""End-to-end tests of gateway hosts with a stand-in store, engines and services."""
 
 import asyncio
 
@@ -35,7 +35,7 @@
             assert first.paths[-1] == "/draft/a?b=%20"
             assert first.heads[-1]["Tenant"] == ACCOUNT
             assert "Authorization" not in first.heads[-1]
-            # One host ordered, and each engine only as often as it was loaded.
+            # Only one host sends orders: engines carry out each order that they get.
             for engine in site.engines.engines.values():
                 assert len(engine.orders) == engine.sequence
 
@@ -54,7 +54,7 @@
     run(scenario())
 
 
-def test_one_time_request_runs_once_whatever_happens():
+def test_one_time_request_runs_once_when_its_answer_is_lost():
     async def scenario():
         async with run_site(desks=2) as site:
             for desk in site.desks:
@@ -66,7 +66,7 @@
     run(scenario())
 
 
-def test_refusal_of_a_one_time_request_is_true():
+def test_refused_one_time_request_has_not_run():
     async def scenario():
         async with run_site(desks=1) as site:
             site.desks[0].refusals = 5
@@ -156,7 +156,7 @@
     run(scenario())
 
 
-def test_address_that_another_target_has_now_runs_nothing():
+def test_request_does_not_run_at_an_address_taken_by_another_target():
     async def scenario():
         async with run_site(desks=2) as site:
             site.desks[0].name = "newcomer"
@@ -185,22 +185,22 @@
     run(scenario())
 
 
-def test_host_that_the_store_turns_away_learns_from_its_peers():
+def test_host_cut_off_from_the_store_learns_from_its_peers():
     async def scenario():
         async with run_site(desks=1, hosts=2) as site:
             await site.wait(lambda: len(site.hosts[0].parts.spread.roster.peers) == 1)
-            cut = site.hosts[0].parts
-            # The port of no listener: its calls are refused at once.
-            cut.configuration._feeds._base = "http://127.0.0.1:9"
+            isolated = site.hosts[0].parts
+            # Nothing listens on this port: connections are refused at once.
+            isolated.configuration._feeds._base = "http://127.0.0.1:9"
             site.store.put("op", "config", build_configuration(6))
             site.enter(site.desks[0], "desk", "north", phase="draining")
-            await site.wait(lambda: cut.runs.directory.version == 6)
-            await site.wait(lambda: not cut.runs.directory.registry.targets)
+            await site.wait(lambda: isolated.runs.directory.version == 6)
+            await site.wait(lambda: not isolated.runs.directory.registry.targets)
 
     run(scenario())
 
 
-def test_targets_and_configuration_outlive_the_store():
+def test_requests_pass_while_the_store_is_unavailable():
     async def scenario():
         async with run_site(desks=1) as site:
             site.store.refuse = 503
@@ -214,7 +214,7 @@
     run(scenario())
 
 
-def test_host_that_starts_while_the_store_is_away_takes_targets_from_its_peers():
+def test_host_started_while_the_store_is_unavailable_gets_targets_from_its_peers():
     async def scenario():
         async with run_site(engines=2, desks=1, hosts=2) as site:
             await site.wait_for_layout()
@@ -231,7 +231,7 @@
     run(scenario())
 
 
-def test_history_that_is_gone_is_read_anew():
+def test_store_is_read_anew_after_it_has_compacted_its_history():
     async def scenario():
         async with run_site(desks=1) as site:
             directory = site.hosts[0].parts.runs.directory
@@ -247,7 +247,7 @@
     run(scenario())
 
 
-def test_planned_stop_ends_what_is_under_way_and_says_so():
+def test_drain_finishes_running_requests_and_closes_connections():
     async def scenario():
         async with run_site(hosts=1) as site:
             engine = await site.add_engine("x", "north", (0, 8))
@@ -271,7 +271,7 @@
     run(scenario())
 
 
-def test_caller_who_leaves_stops_the_work():
+def test_request_is_cancelled_when_its_caller_disconnects():
     async def scenario():
         async with run_site(hosts=1) as site:
             engine = await site.add_engine("x", "north", (0, 8))
@@ -286,7 +286,7 @@
     run(scenario())
 
 
-def test_layout_is_mended_when_an_engine_is_gone():
+def test_layers_of_a_removed_engine_are_loaded_by_another():
     async def scenario():
         async with run_site(engines=4, hosts=1) as site:
             await site.wait_for_layout()
@@ -302,8 +302,11 @@
     run(scenario())
 
 
-def test_layers_of_an_engine_that_does_not_answer_are_held_by_others_at_once():
-    """Its entry would lapse only after three heartbeats; here it never does."""
+def test_layers_of_a_dead_engine_are_loaded_by_another_at_once():
+    """A dead engine is replaced before its entry in the store lapses.
+
+    An entry lapses after three missed heartbeats; in this test it never does.
+    """
 
     async def scenario():
         async with run_site(hosts=1) as site:
@@ -343,7 +346,7 @@
     run(scenario())
 
 
-def test_entries_of_other_writers_name_no_target_and_the_others_hold():
+def test_invalid_target_rows_are_ignored():
     async def scenario():
         async with run_site(desks=1) as site:
             registry = site.hosts[0].parts.runs.directory.registry
@@ -377,7 +380,7 @@
     run(scenario())
 
 
-def test_fault_of_our_own_is_answered_as_one_and_does_not_end_the_host(monkeypatch):
+def test_internal_error_is_answered_with_500_and_the_host_goes_on(monkeypatch):
     async def scenario():
         async with run_site(desks=1) as site:
             runs = site.hosts[0].parts.runs
@@ -395,8 +398,8 @@
     run(scenario())
 
 
-async def list_north(site):
-    """Return the hosts of one data centre, once three of them follow the store."""
+async def list_north_hosts(site):
+    """Return the hosts of data centre ``north`` once three of them read the store."""
     north = [
         host.parts
         for host in site.hosts
@@ -406,15 +409,15 @@
     return north
 
 
-def count_relays(hosts):
-    """Return how many hosts take themselves for a relay."""
+def count_relay_hosts(hosts):
+    """Return the number of hosts that consider themselves a relay."""
     return sum(item.spread.roster.is_relay for item in hosts)
 
 
-def test_hosts_beyond_the_first_take_the_news_from_these():
+def test_hosts_that_do_not_read_the_store_get_updates_from_readers():
     async def scenario():
         async with run_site(desks=1, hosts=9) as site:
-            north = await list_north(site)
+            north = await list_north_hosts(site)
             idle = [item for item in north if not item.spread.roster.must_read()]
             assert len(idle) == 2
             site.store.put("op", "config", build_configuration(9))
@@ -428,10 +431,10 @@
     run(scenario())
 
 
-def test_idle_host_reads_by_itself_when_the_readers_are_cut_off():
+def test_idle_host_reads_the_store_when_the_readers_are_cut_off():
     async def scenario():
         async with run_site(desks=1, hosts=7) as site:
-            north = await list_north(site)
+            north = await list_north_hosts(site)
             for item in north:
                 if item.spread.roster.must_read():
                     item.configuration._feeds._base = "http://127.0.0.1:9"
@@ -447,8 +450,8 @@
 def test_hosts_of_a_large_data_centre_learn_loads_from_their_relay():
     async def scenario():
         async with run_site(engines=2, hosts=16) as site:
-            north = await list_north(site)
-            await site.wait(lambda: count_relays(north) == 3)
+            north = await list_north_hosts(site)
+            await site.wait(lambda: count_relay_hosts(north) == 3)
             spokes = [item for item in north if not item.spread.roster.is_relay]
             assert len(spokes) == 5
             one, other = spokes[0], spokes[1]
@@ -466,10 +469,10 @@
     run(scenario())
 
 
-def test_hosts_of_a_large_data_centre_are_summed_up_for_when_the_first_is_lost():
+def test_loads_are_relayed_after_the_lead_relay_is_lost():
     async def scenario():
         async with run_site(engines=2, hosts=16) as site:
-            north = await list_north(site)
+            north = await list_north_hosts(site)
             spokes = [item for item in north if not item.spread.roster.is_relay]
             lead = next(item for item in north if item.spread.roster.is_lead)
             await lead.network.stop()
