--- a/marigoldswitch/gateway/plain.py
+++ b/marigoldswitch/gateway/plain.py
@@ -86,9 +86,10 @@
             return self._build_response(self._fallback)
 
     async def _find_answer(self) -> Answered:
-        """Send the request to one target after another until one answers.
+        """Send the request to targets until one answers.
 
-        Sendings that are still running at the end are cancelled.
+        While one sending is running, one more may be started as a hedge. Those that are
+        still running at the end are cancelled.
 
         :raises Refused: if the request may not be sent again or no target is left.
         """
@@ -178,7 +179,7 @@
             self._record_attempt(target, end, now)
 
     def _choose_target(self, now: float) -> Target | None:
-        """Choose a target; suspects are used only if there are no others."""
+        """Choose a target; suspects are considered only if all targets are such."""
         parts, service = self._parts, self._exchange.service.name
         targets = parts.directory.registry.list_targets(service)
         available = [
