--- a/marigoldswitch/gateway/hosts.py
+++ b/marigoldswitch/gateway/hosts.py
@@ -28,29 +28,29 @@
 
 logger = structlog.get_logger(__name__)
 
-BACKLOG = 1024
+ACCEPT_BACKLOG = 1024
 """Connections that may wait to be accepted: one that finds no place is tried again only
 seconds later."""
-IDLE_SLACK_SECONDS = 5.0
+KEEPALIVE_MARGIN_SECONDS = 5.0
 """Time that a connection is kept beyond the callers' longest idle time, so that no
 request meets its end."""
-HEAD_BYTES = 65_536
+MAX_HEAD_LINE_BYTES = 65_536
 """Longest line of a request's head, above what any configuration allows."""
-BALANCER_SECONDS = 2.4
+BALANCER_REMOVAL_SECONDS = 2.4
 """Time from the signal to stop in which new requests are still taken: the balancer asks
 each second and takes a host out after two misses. What is taken later has no time to
 end: a stream lives up to 5 s, and the process is killed after 8 s."""
-ALARM_SECONDS = (0.8, 1.4, 2.0, 2.6, 3.2)
+REROUTE_DELAYS = (0.8, 1.4, 2.0, 2.6, 3.2)
 """When streams go round an engine after it was seen to leave: it serves for 2 s and at
 times a little longer. Many streams end before; those that find no way round at first
 look again."""
-ALARM_SPREAD = 0.6
+REROUTE_SPREAD_SECONDS = 0.6
 """Seconds over which the streams of one host do so."""
-LAST_SECONDS = 0.4
+CLOSE_SECONDS = 0.4
 """Part of the time to stop that is kept for closing what is left."""
-ENTER_SECONDS = 1.0
+REGISTER_RETRY_SECONDS = 1.0
 """Pause between two tries to write this host's row."""
-ENTER_SPREAD = 3.0
+REREGISTER_SPREAD_SECONDS = 3.0
 """Seconds over which the hosts write their rows again after the store has lost them, so
 that they don't all call it at its return."""
 METRICS_PATH = "/metrics"
@@ -77,7 +77,7 @@
     configuration: ConfigurationFollower
     targets: TargetFollower
     orderer: LayerOrderer
-    hosts: HostDirectory
+    host_directory: HostDirectory
     sessions: tuple[Closable, ...]
     """Connections of the host that are closed at its end."""
     reading: asyncio.Event
@@ -98,10 +98,10 @@
         self._runners: list[web.ServerRunner] = []
         self._tasks: list[asyncio.Task[None]] = []
         directory = parts.runs.directory
-        directory.registry.watch(self._note_target)
-        directory.registry.watch_eras(self._note_restored)
+        directory.registry.watch(self._handle_target_change)
+        directory.registry.watch_eras(self._handle_store_restored)
         directory.suspects.watch(parts.front.alarm_streams)
-        directory.watch(self._use_limits)
+        directory.watch(self._apply_limits)
 
     @property
     def is_ready(self) -> bool:
@@ -123,7 +123,7 @@
         self._spawn(parts.configuration.run())
         self._spawn(parts.targets.run())
         self._spawn(self._run_spread())
-        self._spawn(self._enter())
+        self._spawn(self._register())
         self._spawn(parts.orderer.run())
         logger.info(
             "host_started",
@@ -139,30 +139,30 @@
         parts.spread.leaving = True
         parts.orderer.retire()
         parts.spread.greet()
-        longest = self.settings.stop_seconds - LAST_SECONDS
+        longest = self.settings.stop_seconds - CLOSE_SECONDS
         try:
             async with asyncio.timeout(longest):
-                await asyncio.sleep(min(BALANCER_SECONDS, longest))
+                await asyncio.sleep(min(BALANCER_REMOVAL_SECONDS, longest))
                 self._close_idle()
                 await parts.front.wait_idle()
         except TimeoutError:
             logger.warning("drain_cut_short", busy=parts.front.busy)
 
-    def use_settings(self, fresh: HostSettings) -> None:
+    def use_settings(self, new_settings: HostSettings) -> None:
         """Put changed settings in force, as far as that needs no restart."""
         old = self.settings
-        fixed = [
+        needing_restart = [
             name
             for name in ("identity", "addresses")
-            if getattr(fresh, name) != getattr(old, name)
+            if getattr(new_settings, name) != getattr(old, name)
         ]
-        if fixed:
-            logger.warning("settings_need_restart", settings=fixed)
-        self.settings = replace(fresh, identity=old.identity, addresses=old.addresses)
-        self.parts.runs.retries.use_terms(fresh.retry_allowance, fresh.retry_share)
-        waits = choose_waits(fresh.touch_seconds, fresh.leaving_seconds)
+        if needing_restart:
+            logger.warning("settings_need_restart", settings=needing_restart)
+        self.settings = replace(new_settings, identity=old.identity, addresses=old.addresses)
+        self.parts.runs.retries.use_terms(new_settings.retry_allowance, new_settings.retry_share)
+        waits = choose_waits(new_settings.touch_seconds, new_settings.leaving_seconds)
         self.parts.configuration.waits = self.parts.targets.waits = waits
-        for seed in fresh.seeds:
+        for seed in new_settings.seeds:
             self.parts.spread.meet(HostRecord(seed, ""))
         logger.info("settings_in_force", changed=self.settings != old)
 
@@ -172,9 +172,9 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        left = await parts.hosts.leave(self._record)
-        if isinstance(left, Err):
-            logger.info("host_row_left", why=left.err_value.value)
+        result = await parts.host_directory.leave(self._record)
+        if isinstance(result, Err):
+            logger.info("host_row_left", why=result.err_value.value)
         for runner in self._runners:
             await runner.cleanup()
         await parts.network.stop()
@@ -202,27 +202,27 @@
             handler_cancellation=True,
             access_log=None,
             auto_decompress=False,
-            keepalive_timeout=self._idle_seconds(),
-            max_line_size=HEAD_BYTES,
-            max_field_size=HEAD_BYTES,
+            keepalive_timeout=self._get_keepalive_seconds(),
+            max_line_size=MAX_HEAD_LINE_BYTES,
+            max_field_size=MAX_HEAD_LINE_BYTES,
         )
-        runner = web.ServerRunner(server, shutdown_timeout=LAST_SECONDS / 2)
+        runner = web.ServerRunner(server, shutdown_timeout=CLOSE_SECONDS / 2)
         await runner.setup()
         host, port = split_address(address)
-        await web.TCPSite(runner, host, port, backlog=BACKLOG).start()
+        await web.TCPSite(runner, host, port, backlog=ACCEPT_BACKLOG).start()
         self._runners.append(runner)
 
-    def _idle_seconds(self) -> float:
+    def _get_keepalive_seconds(self) -> float:
         table = self.parts.runs.directory.table
         idle = table.limits.idle_seconds if table else 0.0
-        return max(idle, 15.0) + IDLE_SLACK_SECONDS
+        return max(idle, 15.0) + KEEPALIVE_MARGIN_SECONDS
 
-    def _use_limits(self, table: RoutingTable) -> None:
+    def _apply_limits(self, table: RoutingTable) -> None:
         """Let new connections follow the limits of a configuration."""
         for runner in self._runners:
             if runner.server is not None:
                 # The server has no other way to change this for connections to come.
-                runner.server._kwargs["keepalive_timeout"] = self._idle_seconds()
+                runner.server._kwargs["keepalive_timeout"] = self._get_keepalive_seconds()
 
     async def _answer_readiness(self, http: web.BaseRequest) -> web.StreamResponse:
         if http.path == METRICS_PATH:
@@ -236,10 +236,10 @@
                 self.parts.runs.probes.recheck_dead()
             except Exception:
                 logger.exception("spread_failed")
-            self._look_for_turn()
+            self._update_store_reading()
             await asyncio.sleep(self.parts.spread.period)
 
-    def _look_for_turn(self) -> None:
+    def _update_store_reading(self) -> None:
         """Have the store read by this host, or no longer."""
         parts = self.parts
         directory = parts.runs.directory
@@ -249,59 +249,59 @@
         else:
             parts.reading.clear()
 
-    async def _enter(self) -> None:
+    async def _register(self) -> None:
         """Write this host's row and learn of the others, until that has worked."""
         parts = self.parts
         await self._write_row()
         while True:
-            listed = await parts.hosts.list_hosts()
+            listed = await parts.host_directory.list_hosts()
             if isinstance(listed, Ok):
                 break
-            await asyncio.sleep(ENTER_SECONDS)
+            await asyncio.sleep(REGISTER_RETRY_SECONDS)
         for record in listed.ok_value:
             parts.spread.meet(record)
         parts.spread.roster.is_listed = True
-        self._look_for_turn()
+        self._update_store_reading()
         parts.spread.greet()
         logger.info("hosts_met", hosts=len(parts.spread.roster.peers))
 
     async def _write_row(self) -> None:
         """Write this host's row, however many tries that takes."""
         while True:
-            if (await self.parts.hosts.enter(self._record)).is_ok():
+            if (await self.parts.host_directory.enter(self._record)).is_ok():
                 return
-            await asyncio.sleep(ENTER_SECONDS)
+            await asyncio.sleep(REGISTER_RETRY_SECONDS)
 
-    def _note_restored(self, restored: StoreRestored) -> None:
+    def _handle_store_restored(self, restored: StoreRestored) -> None:
         """Write this host's row again, as the store may have lost it."""
         self.parts.metrics.store_returns.inc({})
-        delay = self.parts.runs.source.uniform(0.0, ENTER_SPREAD)
-        self._spawn(self._enter_again(delay))
+        delay = self.parts.runs.source.uniform(0.0, REREGISTER_SPREAD_SECONDS)
+        self._spawn(self._register_again(delay))
 
-    async def _enter_again(self, delay: float) -> None:
+    async def _register_again(self, delay: float) -> None:
         await asyncio.sleep(delay)
         await self._write_row()
         logger.info("host_row_written_again")
 
-    def _note_target(self, change: Change, target: Target) -> None:
+    def _handle_target_change(self, change: Change, target: Target) -> None:
         loop = asyncio.get_running_loop()
         if change is Change.UPDATED:
-            self._alarm_some(target.id)
+            self._schedule_reroutes(target.id)
         if change is Change.ADDED:
             # It has started again under its id: what passed through it is lost.
             self.parts.front.alarm_streams(target.id)
         if change in (Change.LEAVING, Change.GONE):
-            for seconds in ALARM_SECONDS:
-                loop.call_later(seconds, self._alarm_some, target.id)
+            for seconds in REROUTE_DELAYS:
+                loop.call_later(seconds, self._schedule_reroutes, target.id)
 
-    def _alarm_some(self, target: TargetId) -> None:
+    def _schedule_reroutes(self, target: TargetId) -> None:
         """Have streams go round an engine, spread over a while.
 
         Those that come in read whole prompts: together they would wait for each other.
         """
         loop = asyncio.get_running_loop()
         for run in self.parts.front.list_streams(target):
-            delay = self.parts.runs.source.uniform(0.0, ALARM_SPREAD)
+            delay = self.parts.runs.source.uniform(0.0, REROUTE_SPREAD_SECONDS)
             loop.call_later(delay, run.chain.alarm)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
--- a/marigoldswitch/gateway/orderer.py
+++ b/marigoldswitch/gateway/orderer.py
@@ -37,44 +37,44 @@
 
 logger = structlog.get_logger(__name__)
 
-TERMS = LeaseTerms(seconds=2.4, margin=0.4)
+LEASE_TERMS = LeaseTerms(seconds=2.4, margin=0.4)
 """The lease: renewed every 0.6 s, so that three lost renewals are borne; the longer it
 is, the longer a hole stays open after the loss of its holder. The margin is longer than
 a read and an order take."""
-HOPELESS_SECONDS = 1.2
+LEASE_GIVE_UP_SECONDS = 1.2
 """Time without a renewal after which a holder that the store turns away gives the lease
 up and says so: two renewals have failed, and another host can take over at once."""
 TICK_SECONDS = 0.25
-IDLE_SECONDS = 1.0
+IDLE_TICK_SECONDS = 1.0
 """Pause between two looks of a host that leaves the lease to those that read."""
-LOOK_SECONDS = 0.6
+LEASE_READ_INTERVAL = 0.6
 """Least time between two reads of the lease by a host that does not hold it."""
 SETTLE_SECONDS = 1.3
 """A first layout waits until no engine has entered itself for this long, which is a
 heartbeat: the large ones must be placed first."""
-READ_SECONDS = 0.3
+STATUS_TIMEOUT = 0.3
 FIRST_CHECK_SECONDS = 0.4
 """Time after an order in which nothing can have been loaded yet."""
-LAPSE_SECONDS = 1.5
+ORDER_ACCEPT_SECONDS = 1.5
 """Time after which an engine that is neither busy nor as ordered has not taken the
 order, for its own report is a few hundred milliseconds old."""
-DEAD_SECONDS = 0.2
+REASSIGN_SECONDS = 0.2
 """Time after which the layers of an engine that does not answer are given to others:
 its entry lapses only after three heartbeats, 3.6 s, in which its data centre has no
 chain. Two tries of 60 ms in all have failed by then; a live engine that was cut off for
 a moment keeps what it holds, and others give it back."""
-CUT_SHARE = 0.5
+PARTITION_SHARE = 0.5
 """Share of a data centre's engines above which they are taken to be cut off from this
 host instead of dead; no order would reach them."""
-SLOW_SECONDS = 3.0
+SLOW_LOAD_SECONDS = 3.0
 """Time after which the layers that an order names count as held by nobody: a step loads
 in 1.4 s, but an engine first waits for the streams that it began itself. A data centre
 was left with a hole for 10 s by one that was counted on."""
-RETURN_SECONDS = 0.4
+RETURN_SETTLE_SECONDS = 0.4
 """Time after the return of an engine that still holds layers in which its data centre
 is left as it is: the entries of all that were cut off come back within half a second,
 and what is missing until then is no hole."""
-GIVE_UP_SECONDS = 20.0
+ORDER_EXPIRY_SECONDS = 20.0
 """Time after which an order is forgotten, longer than loading a whole model."""
 
 
@@ -83,7 +83,7 @@
     """An order that is not known to be carried out yet."""
 
     layers: LayerRange
-    sent: float
+    sent_at: float
 
 
 class LayerOrderer:
@@ -101,7 +101,7 @@
         home: DataCentre,
         region: str,
     ) -> None:
-        self.lease = Lease(host, secrets.token_hex(4), TERMS)
+        self.lease = Lease(host, secrets.token_hex(4), LEASE_TERMS)
         self._clock = clock
         self._table = table
         self._engines = engines
@@ -112,13 +112,13 @@
         self._region = region
         self._pending: dict[TargetId, PendingOrder] = {}
         self._changed_at = clock.monotonic()
-        self._content: dict[ServiceName, list[EngineSlot]] = {}
+        self._unchanged_engines: dict[ServiceName, list[EngineSlot]] = {}
         """Engines for which the last plan had nothing to change."""
-        self._returned: dict[DataCentre, float] = {}
+        self._returned_at: dict[DataCentre, float] = {}
         """When an engine that holds layers last came to a data centre."""
-        self._cut: set[DataCentre] = set()
+        self._partitioned: set[DataCentre] = set()
         """Data centres whose engines this host can't reach."""
-        self._looked = float("-inf")
+        self._lease_read_at = float("-inf")
         self._retired = False
         self._is_deputy = False
         """This host orders without the lease, as nobody can hold it."""
@@ -127,8 +127,8 @@
     async def run(self) -> None:
         """Keep the lease and the layout until cancelled."""
         while True:
-            is_near = self.lease.holds or self._spread.roster.must_read()
-            await asyncio.sleep(TICK_SECONDS if is_near else IDLE_SECONDS)
+            is_active = self.lease.holds or self._spread.roster.must_read()
+            await asyncio.sleep(TICK_SECONDS if is_active else IDLE_TICK_SECONDS)
             try:
                 await self.tick()
             except Exception:
@@ -138,12 +138,12 @@
         """Look at the lease if that is due and, as its holder, take the next steps."""
         if self._retired:
             return
-        self._look_for_outage()
+        self._update_deputy_role()
         if not self._is_deputy:
             await self._keep_lease()
         if self._may_order():
-            await self._follow_pending()
-            await self._place()
+            await self._check_pending()
+            await self._apply_layouts()
 
     def retire(self) -> None:
         """Order nothing from now on, and let another host take over at once."""
@@ -155,12 +155,12 @@
         if change is Change.ADDED:
             self._changed_at = self._clock.monotonic()
             if target.layers is not None:
-                self._returned[target.data_centre] = self._changed_at
+                self._returned_at[target.data_centre] = self._changed_at
         if change is Change.GONE:
             self._pending.pop(target.id, None)
             self._probes.forget(target.id)
 
-    def _look_for_outage(self) -> None:
+    def _update_deputy_role(self) -> None:
         """Stand in for a holder of the lease while the store is away, or no longer."""
         view = self._spread.look_at_outage()
         stands_in = not self.lease.holds and is_deputy(view)
@@ -184,11 +184,11 @@
     async def _keep_lease(self) -> None:
         now = self._clock.monotonic()
         if not self.lease.holds:
-            waits = self._spread.hears_orderer or now - self._looked < LOOK_SECONDS
+            should_wait = self._spread.hears_orderer or now - self._lease_read_at < LEASE_READ_INTERVAL
             # Few hosts of a data centre are enough to take the lease over, and each
             # look is paid for.
-            waits = waits or not self._spread.roster.must_read()
-            if waits or not await self._look_at_lease():
+            should_wait = should_wait or not self._spread.roster.must_read()
+            if should_wait or not await self._read_lease():
                 return
         claim = self.lease.plan_claim(self._clock.monotonic())
         if claim is None:
@@ -207,16 +207,16 @@
                 if fault is StoreFault.RESTORED:
                     # The row may have been that of a rival, who finds out later.
                     self.lease.give_up()
-                if not await self._look_at_lease():
+                if not await self._read_lease():
                     return
 
-    async def _look_at_lease(self) -> bool:
+    async def _read_lease(self) -> bool:
         """Read the lease's row; tell whether it was read."""
-        self._looked = self._clock.monotonic()
-        held = self.lease.holds
+        self._lease_read_at = self._clock.monotonic()
+        was_holder = self.lease.holds
         read = await self._table.read(LEASE_TABLE, self._region)
         if isinstance(read, Err):
-            if held and self.lease.age(self._clock.monotonic()) > HOPELESS_SECONDS:
+            if was_holder and self.lease.age(self._clock.monotonic()) > LEASE_GIVE_UP_SECONDS:
                 logger.warning("lease_given_up", why=read.err_value.value)
                 self.lease.give_up()
             return False
@@ -226,25 +226,25 @@
             logger.error("lease_unreadable", table=LEASE_TABLE, key=self._region)
             self.lease.give_up()
             return False
-        if held and not self.lease.holds:
+        if was_holder and not self.lease.holds:
             logger.warning("lease_lost", holder=self.lease.holder)
             self._pending.clear()
         return True
 
     # The layout.
 
-    async def _place(self) -> None:
+    async def _apply_layouts(self) -> None:
         table = self._directory.table
         if table is None:
             return
         for service in table.services.values():
             if service.model is not None:
-                await self._place_service(service, service.model)
+                await self._apply_layout(service, service.model)
 
-    async def _place_service(self, service: ServiceSpec, model: ModelSpec) -> None:
-        targets = self._list_own(service.name)
-        engines = [self._describe(item) for item in self._leave_out_dead(targets)]
-        if not self._is_settled(engines) or engines == self._content.get(service.name):
+    async def _apply_layout(self, service: ServiceSpec, model: ModelSpec) -> None:
+        targets = self._list_controlled(service.name)
+        engines = [self._build_engine_slot(item) for item in self._exclude_dead(targets)]
+        if not self._is_settled(engines) or engines == self._unchanged_engines.get(service.name):
             return
         if self._is_deputy and not holds_model(model, engines):
             # It shares a model with others, of which a deputy sees a part only.
@@ -252,49 +252,49 @@
         wanted = plan_layout(model, engines)
         if not wanted:
             # Planned again when something changes: 16 ms with 600 engines.
-            self._content[service.name] = engines
+            self._unchanged_engines[service.name] = engines
         by_id = {item.id: item for item in targets}
         orders = [
-            self._order(by_id[name], layers, model) for name, layers in wanted.items()
+            self._send_order(by_id[name], layers, model) for name, layers in wanted.items()
         ]
         await asyncio.gather(*orders)
 
-    def _list_own(self, service: ServiceName) -> list[Target]:
+    def _list_controlled(self, service: ServiceName) -> list[Target]:
         """Return the engines that this host may order."""
         targets = self._directory.registry.list_targets(service)
         if not self._is_deputy:
             return targets
         return [item for item in targets if item.data_centre == self._home]
 
-    def _leave_out_dead(self, targets: list[Target]) -> list[Target]:
+    def _exclude_dead(self, targets: list[Target]) -> list[Target]:
         """Return the engines that are there, by findings that rows don't show yet."""
         now = self._clock.monotonic()
         suspects = self._directory.suspects
         dead = {
             item.id
             for item in targets
-            if suspects.has_been_dead(item.id, DEAD_SECONDS, now)
+            if suspects.has_been_dead(item.id, REASSIGN_SECONDS, now)
         }
-        all_of = Counter(item.data_centre for item in targets)
-        dead_of = Counter(item.data_centre for item in targets if item.id in dead)
-        cut = {
+        total_by_centre = Counter(item.data_centre for item in targets)
+        dead_by_centre = Counter(item.data_centre for item in targets if item.id in dead)
+        partitioned = {
             centre
-            for centre, number in dead_of.items()
-            if number > CUT_SHARE * all_of[centre]
+            for centre, number in dead_by_centre.items()
+            if number > PARTITION_SHARE * total_by_centre[centre]
         }
-        self._cut = cut
+        self._partitioned = partitioned
         return [
-            item for item in targets if item.id not in dead or item.data_centre in cut
+            item for item in targets if item.id not in dead or item.data_centre in partitioned
         ]
 
-    def _describe(self, target: Target) -> EngineSlot:
+    def _build_engine_slot(self, target: Target) -> EngineSlot:
         pending = self._pending.get(target.id)
         now = self._clock.monotonic()
         layers = target.layers
-        if pending is not None and now - pending.sent < SLOW_SECONDS:
+        if pending is not None and now - pending.sent_at < SLOW_LOAD_SECONDS:
             layers = pending.layers
-        returned = self._returned.get(target.data_centre, float("-inf"))
-        is_unsettled = now - returned < RETURN_SECONDS
+        returned = self._returned_at.get(target.data_centre, float("-inf"))
+        is_unsettled = now - returned < RETURN_SETTLE_SECONDS
         return EngineSlot(
             target.id,
             target.data_centre,
@@ -302,7 +302,7 @@
             layers,
             is_busy=pending is not None
             or is_unsettled
-            or target.data_centre in self._cut,
+            or target.data_centre in self._partitioned,
         )
 
     def _is_settled(self, engines: list[EngineSlot]) -> bool:
@@ -311,14 +311,14 @@
             return True
         return self._clock.monotonic() - self._changed_at >= SETTLE_SECONDS
 
-    async def _order(
+    async def _send_order(
         self, target: Target, layers: LayerRange, model: ModelSpec
     ) -> None:
         accelerator = model.accelerators.get(target.accelerator)
         if accelerator is None or not model.fits(accelerator, layers):
-            logger.error("order_too_large", target=target.id, layers=_show(layers))
+            logger.error("order_too_large", target=target.id, layers=_format_layers(layers))
             return
-        status = await self._engines.read(target.address, READ_SECONDS)
+        status = await self._engines.read(target.address, STATUS_TIMEOUT)
         if not isinstance(status, EngineStatus) or status.is_busy:
             return
         if self._has_restarted(target.id, status):
@@ -340,37 +340,37 @@
             "order_sent",
             target=target.id,
             address=target.address,
-            layers=_show(layers),
-            held=_show(status.layers),
+            layers=_format_layers(layers),
+            held=_format_layers(status.layers),
             sequence=status.sequence,
             result=reply.result.value,
             fencing=self.lease.fencing,
             revision=self._directory.registry.revision,
         )
 
-    async def _follow_pending(self) -> None:
+    async def _check_pending(self) -> None:
         now = self._clock.monotonic()
         due = [
             (name, order)
             for name, order in self._pending.items()
-            if now - order.sent >= FIRST_CHECK_SECONDS
+            if now - order.sent_at >= FIRST_CHECK_SECONDS
         ]
-        await asyncio.gather(*(self._follow(name, order) for name, order in due))
+        await asyncio.gather(*(self._check_order(name, order) for name, order in due))
 
-    async def _follow(self, name: TargetId, order: PendingOrder) -> None:
+    async def _check_order(self, name: TargetId, order: PendingOrder) -> None:
         """Look whether an order has been carried out."""
         target = self._directory.registry.targets.get(name)
         now = self._clock.monotonic()
-        if target is None or now - order.sent > GIVE_UP_SECONDS:
+        if target is None or now - order.sent_at > ORDER_EXPIRY_SECONDS:
             self._pending.pop(name, None)
             return
-        status = await self._engines.read(target.address, READ_SECONDS)
+        status = await self._engines.read(target.address, STATUS_TIMEOUT)
         if not isinstance(status, EngineStatus) or self._has_restarted(name, status):
             return
         if status.layers == order.layers:
             self._note_done(name, order.layers, status)
-        elif not status.is_busy and now - order.sent > LAPSE_SECONDS:
-            logger.info("order_not_taken", target=name, layers=_show(order.layers))
+        elif not status.is_busy and now - order.sent_at > ORDER_ACCEPT_SECONDS:
+            logger.info("order_not_taken", target=name, layers=_format_layers(order.layers))
             self._pending.pop(name, None)
 
     def _has_restarted(self, name: TargetId, status: EngineStatus) -> bool:
@@ -395,5 +395,5 @@
         self._spread.tell_now()
 
 
-def _show(layers: LayerRange | None) -> list[int] | None:
+def _format_layers(layers: LayerRange | None) -> list[int] | None:
     return [layers.first, layers.end] if layers else None
--- a/marigoldswitch/gateway/planner.py
+++ b/marigoldswitch/gateway/planner.py
@@ -26,7 +26,7 @@
 )
 from marigoldswitch.gateway.directory import Directory
 
-LEAVING_SECONDS = 0.8
+LEAVING_USE_SECONDS = 0.8
 """Time for which an engine that leaves may still get work where a data centre has no
 chain without it: it serves for 2 s after the store knows that it leaves, which this
 host learns up to half a second later, and a new holder of its layers needs 1.5 s."""
@@ -50,7 +50,7 @@
         self._clock = clock
         self._home = home
         self._source = source
-        self._crossings = CrossingBudget()
+        self._crossing_budget = CrossingBudget()
         self.count_hosts: Callable[[], int] = lambda: 1
         """Live hosts, this one among them."""
         self.count_near: Callable[[], int] = lambda: 1
@@ -77,8 +77,8 @@
         near = find_near_chain(offers, model.layers, self._home, self._source, jitter)
         if near is not None:
             return near
-        for list_more in (self._list_leaving, self._list_failing):
-            more = list_more(service, model, tokens)
+        for list_fallback in (self._list_leaving, self._list_failing):
+            more = list_fallback(service, model, tokens)
             more = [item for item in more if item.target not in avoid]
             if not more:
                 continue
@@ -89,15 +89,15 @@
         wide = find_chain(offers, LayerRange(0, model.layers), self._source)
         if wide is None:
             return None
-        seconds = _measure_crossings(wide.crossings, model, tokens)
+        seconds = _estimate_crossing_seconds(wide.crossings, model, tokens)
         hosts, now = self.count_hosts(), self._clock.monotonic()
-        return wide if self._crossings.has_room(seconds, hosts, now, is_new) else None
+        return wide if self._crossing_budget.has_room(seconds, hosts, now, is_new) else None
 
     def take(self, service: ServiceSpec, chain: Chain, tokens: int) -> None:
         """Count a request on a chain that was found for it."""
         if service.model is not None:
-            seconds = _measure_crossings(chain.crossings, service.model, tokens)
-            self._crossings.spend(seconds)
+            seconds = _estimate_crossing_seconds(chain.crossings, service.model, tokens)
+            self._crossing_budget.spend(seconds)
         self.hold(chain.stages, tokens)
 
     def find_detour(
@@ -122,16 +122,16 @@
         offers = self._list_offers(service, model, tokens)
         near = [item for item in offers if item.data_centre == home]
         rest = {item.target for item in stages[1:]}
-        ways = ((lost, near), (lost, offers), (rest, near), (rest, offers))
-        old = count_crossings([centres[item.target] for item in stages])
-        for without, among in ways:
-            chain = mend_chain(stages, without, among, centres, self._source)
+        attempts = ((lost, near), (lost, offers), (rest, near), (rest, offers))
+        old_crossings = count_crossings([centres[item.target] for item in stages])
+        for excluded, candidates in attempts:
+            chain = mend_chain(stages, excluded, candidates, centres, self._source)
             if chain is None:
                 continue
-            added = max(0, chain.crossings - old)
-            seconds = _measure_crossings(added, model, tokens)
+            added_crossings = max(0, chain.crossings - old_crossings)
+            seconds = _estimate_crossing_seconds(added_crossings, model, tokens)
             now = self._clock.monotonic()
-            if self._crossings.take(seconds, self.count_hosts(), now):
+            if self._crossing_budget.take(seconds, self.count_hosts(), now):
                 return chain
         return None
 
@@ -151,25 +151,25 @@
             return {}
         offers = self._list_offers(service, service.model, tokens)
         ranges = [item.layers for item in offers]
-        free = [item.layers for item in offers if item.has_room()]
+        ranges_with_room = [item.layers for item in offers if item.has_room()]
         layers = service.model.layers
         return {
             "engines": len(offers),
             "covered": has_chain(ranges, layers),
-            "covered_with_room": has_chain(free, layers),
-            "with_room": len(free),
-            "crossing_seconds_left": round(self._crossings.level, 3),
+            "covered_with_room": has_chain(ranges_with_room, layers),
+            "with_room": len(ranges_with_room),
+            "crossing_seconds_left": round(self._crossing_budget.level, 3),
         }
 
     def hold(self, stages: Sequence[Stage], tokens: int) -> None:
         """Count a request at the stages of its chain."""
         for item in stages:
-            self._loads.hold(item.target, _measure_usage(item, tokens))
+            self._loads.hold(item.target, _build_usage(item, tokens))
 
     def release(self, stages: Sequence[Stage], tokens: int) -> None:
         """Count a request as ended."""
         for item in stages:
-            self._loads.release(item.target, _measure_usage(item, tokens))
+            self._loads.release(item.target, _build_usage(item, tokens))
 
     def _list_offers(
         self, service: ServiceSpec, model: ModelSpec, tokens: int
@@ -181,7 +181,7 @@
             for target in self._directory.registry.list_targets(service.name)
             if not suspects.is_out(target.id, now)
         ]
-        return self._offer_all(targets, model, tokens)
+        return self._build_offers(targets, model, tokens)
 
     def _list_leaving(
         self, service: ServiceSpec, model: ModelSpec, tokens: int
@@ -191,10 +191,10 @@
         registry, suspects = self._directory.registry, self._directory.suspects
         targets = [
             target
-            for target in registry.list_leaving(service.name, now - LEAVING_SECONDS)
+            for target in registry.list_leaving(service.name, now - LEAVING_USE_SECONDS)
             if not suspects.is_out(target.id, now)
         ]
-        return self._offer_all(targets, model, tokens)
+        return self._build_offers(targets, model, tokens)
 
     def _list_failing(
         self, service: ServiceSpec, model: ModelSpec, tokens: int
@@ -210,16 +210,16 @@
             for target in self._directory.registry.list_targets(service.name)
             if suspects.is_failing(target.id, now)
         ]
-        return self._offer_all(targets, model, tokens)
+        return self._build_offers(targets, model, tokens)
 
-    def _offer_all(
+    def _build_offers(
         self, targets: Sequence[Target], model: ModelSpec, tokens: int
     ) -> list[StageOffer]:
         peers = self.count_near() - 1
-        offers = (self._offer(target, model, tokens, peers) for target in targets)
+        offers = (self._build_offer(target, model, tokens, peers) for target in targets)
         return [item for item in offers if item is not None]
 
-    def _offer(
+    def _build_offer(
         self, target: Target, model: ModelSpec, tokens: int, peers: int
     ) -> StageOffer | None:
         """Return what an engine offers, or ``None`` where it can take nothing.
@@ -230,8 +230,8 @@
         layers = target.layers
         if accelerator is None or layers is None:
             return None
-        room = model.measure_memory(accelerator, layers)
-        if room <= 0.0:
+        capacity = model.measure_memory(accelerator, layers)
+        if capacity <= 0.0:
             return None
         usage = self._loads.get(target.id)
         offered = choose_layers(layers, usage.begun, target.slots)
@@ -245,18 +245,18 @@
             target.data_centre,
             offered,
             seconds * self.slowness.get(target.id, 1.0),
-            usage.memory / room,
-            tokens / room,
-            self._loads.count_fresh(target.id) * peers / room,
+            usage.memory / capacity,
+            tokens / capacity,
+            self._loads.count_fresh(target.id) * peers / capacity,
         )
 
 
-def _measure_crossings(crossings: int, model: ModelSpec, tokens: int) -> float:
+def _estimate_crossing_seconds(crossings: int, model: ModelSpec, tokens: int) -> float:
     """Return the seconds that a prompt keeps the pipe between data centres busy."""
     return crossings * tokens * model.crossing_seconds
 
 
-def _measure_usage(stage: Stage, tokens: int) -> Usage:
+def _build_usage(stage: Stage, tokens: int) -> Usage:
     """Return what a request takes of an engine that runs a part of its layers."""
     memory = tokens * (stage.layers.end - stage.layers.first)
     return Usage(1, memory, begun=int(stage.layers.first == 0))
--- a/marigoldswitch/gateway/probing.py
+++ b/marigoldswitch/gateway/probing.py
@@ -15,14 +15,14 @@
 from marigoldswitch.gateway.directory import Directory
 from marigoldswitch.gateway.planner import ChainPlanner
 from marigoldswitch.gateway.ports import EngineControl, EngineStatus
-from marigoldswitch.gateway.questions import EngineQuestions, assume_status
+from marigoldswitch.gateway.questions import EngineStatusReader, build_default_status
 
 logger = structlog.get_logger(__name__)
 
-FRESH_SECONDS = 0.1
+STATUS_CACHE_SECONDS = 0.1
 """Time for which an answer also serves others that ask: dozens of streams pass through
 an engine and notice its silence together."""
-RECHECK_SECONDS = 0.6
+RECHECK_INTERVAL = 0.6
 """Time between two looks at an engine that was found dead. Shorter than the time for
 which it is left out, so that no request is sent to find out whether it lives."""
 SLOW_FACTOR = 1.3
@@ -42,65 +42,65 @@
         self._directory = directory
         self._planner = planner
         self._clock = clock
-        self._questions = EngineQuestions(
-            engines, directory, clock, self._get_last_sign
+        self._status_reader = EngineStatusReader(
+            engines, directory, clock, self._get_last_event_time
         )
         self.gaps = HostGaps()
         """Gaps between the events of all streams, by which silence is told."""
-        self._turn = 0
+        self._recheck_count = 0
         """Looks at silent data centres, so that each is at another engine."""
-        self._running: dict[TargetId, asyncio.Task[EngineStatus | None]] = {}
-        self._checks: dict[TargetId, asyncio.Future[EngineStatus | None]] = {}
-        self._seen: dict[TargetId, tuple[float, EngineStatus | None]] = {}
-        self._looked: dict[TargetId, float] = {}
+        self._running_probes: dict[TargetId, asyncio.Task[EngineStatus | None]] = {}
+        self._background_checks: dict[TargetId, asyncio.Future[EngineStatus | None]] = {}
+        self._cached_statuses: dict[TargetId, tuple[float, EngineStatus | None]] = {}
+        self._probed_at: dict[TargetId, float] = {}
         """When each engine was last looked at."""
-        self._alive: dict[TargetId, float] = {}
+        self._last_event_at: dict[TargetId, float] = {}
         """When an event last came over a chain through each engine."""
 
     def note_alive(self, targets: Iterable[TargetId]) -> None:
         """Learn that an event has just come over these engines."""
         now = self._clock.monotonic()
         for name in targets:
-            self._alive[name] = now
+            self._last_event_at[name] = now
 
     def is_alive(self, target: TargetId, since: float) -> bool:
         """Tell whether an event has come through an engine since a moment."""
-        return self._get_last_sign(target) > since
+        return self._get_last_event_time(target) > since
 
     def has_served(self, target: TargetId) -> bool:
         """Tell whether an event has ever come through an engine."""
-        return target in self._alive
+        return target in self._last_event_at
 
-    def _get_last_sign(self, target: TargetId) -> float:
-        return self._alive.get(target, float("-inf"))
+    def _get_last_event_time(self, target: TargetId) -> float:
+        return self._last_event_at.get(target, float("-inf"))
 
     async def check(self, target: Target) -> EngineStatus | None:
         """Return what an engine says; one that says nothing becomes a suspect."""
         now = self._clock.monotonic()
         if self._directory.suspects.is_dead(target.id, now):
             return None
-        seen = self._seen.get(target.id)
-        if seen is not None and now - seen[0] < FRESH_SECONDS:
+        seen = self._cached_statuses.get(target.id)
+        if seen is not None and now - seen[0] < STATUS_CACHE_SECONDS:
             return seen[1]
-        return await asyncio.shield(self._start(target))
+        return await asyncio.shield(self._get_or_start_probe(target))
 
     async def has_ended(self, target: Target, born: int) -> bool:
         """Tell whether the process of a target has certainly ended.
 
         :param born: when it had started, in ms since 1970; 0 where it is not known.
         """
-        return await self._questions.has_ended(target, born)
+        return await self._status_reader.has_ended(target, born)
 
-    def _start(self, target: Target) -> asyncio.Task[EngineStatus | None]:
-        task = self._running.get(target.id)
-        return task or self._run(target, self._probe(target))
+    def _get_or_start_probe(self, target: Target) -> asyncio.Task[EngineStatus | None]:
+        task = self._running_probes.get(target.id)
+        return task or self._start_task(target, self._probe(target))
 
-    def _run(
+    def _start_task(
         self, target: Target, work: Coroutine[Any, Any, EngineStatus | None]
     ) -> asyncio.Task[EngineStatus | None]:
         task = asyncio.create_task(work)
-        self._running[target.id] = task
-        task.add_done_callback(lambda _: self._running.pop(target.id, None))
+        self._running_probes[target.id] = task
+        task.add_done_callback(lambda _: self._running_probes.pop(target.id, None))
         return task
 
     def recheck_dead(self) -> None:
@@ -121,10 +121,10 @@
             if self._is_due(name, now):
                 due.setdefault(target.data_centre, []).append(target)
         for centre, engines in due.items():
-            if self._is_centre_silent(centre, now - 2.0 * RECHECK_SECONDS):
+            if self._is_centre_silent(centre, now - 2.0 * RECHECK_INTERVAL):
                 # Another one each time: one that is gone for good tells of none.
-                self._turn += 1
-                chosen = engines[self._turn % len(engines)]
+                self._recheck_count += 1
+                chosen = engines[self._recheck_count % len(engines)]
                 self._start_recheck(chosen, lost[centre])
                 continue
             for item in engines:
@@ -132,7 +132,7 @@
 
     def _is_centre_silent(self, centre: DataCentre, since: float) -> bool:
         """Tell whether no engine of a data centre has shown a sign of life."""
-        if self._questions.health.has_answered(centre, since):
+        if self._status_reader.health.has_answered(centre, since):
             return False
         return not any(
             self.is_alive(item.id, since)
@@ -141,29 +141,29 @@
         )
 
     def _is_due(self, target: TargetId, now: float) -> bool:
-        looked = self._looked.setdefault(target, now)
-        return now - looked >= RECHECK_SECONDS
+        looked = self._probed_at.setdefault(target, now)
+        return now - looked >= RECHECK_INTERVAL
 
     def _start_recheck(self, target: Target, group: list[Target]) -> None:
         """Look at one engine for a group of them, unless that is being done."""
-        if target.id in self._running:
+        if target.id in self._running_probes:
             return
         now = self._clock.monotonic()
         for item in group:
-            self._looked[item.id] = now
-        self._run(target, self._recheck(target, group))
+            self._probed_at[item.id] = now
+        self._start_task(target, self._recheck(target, group))
 
     async def _recheck(
         self, target: Target, group: list[Target]
     ) -> EngineStatus | None:
         """Ask an engine once; the others of its group live if it does."""
-        status = await self._questions.ask_once(target)
+        status = await self._status_reader.read_status_once(target)
         now = self._clock.monotonic()
         if status is None:
             for item in group:
                 self._directory.suspects.note(item.id, Finding.DEAD, now)
             return None
-        self._take_answer(target, status, now)
+        self._record_status(target, status, now)
         for item in group:
             if item is not target:
                 self._start_recheck(item, [item])
@@ -171,29 +171,29 @@
 
     def check_later(self, target: Target) -> None:
         """Look at an engine of which a peer says that it is silent."""
-        if target.id not in self._checks:
+        if target.id not in self._background_checks:
             task = asyncio.ensure_future(self.check(target))
-            self._checks[target.id] = task
-            task.add_done_callback(lambda _: self._checks.pop(target.id, None))
+            self._background_checks[target.id] = task
+            task.add_done_callback(lambda _: self._background_checks.pop(target.id, None))
 
     def forget(self, target: TargetId) -> None:
         """Forget an engine that is gone."""
-        self._seen.pop(target, None)
-        self._alive.pop(target, None)
-        self._looked.pop(target, None)
+        self._cached_statuses.pop(target, None)
+        self._last_event_at.pop(target, None)
+        self._probed_at.pop(target, None)
         self._planner.slowness.pop(target, None)
 
     async def _probe(self, target: Target) -> EngineStatus | None:
         began = self._clock.monotonic()
-        answer = await self._questions.ask(target)
+        answer = await self._status_reader.read_status(target)
         now = self._clock.monotonic()
         if isinstance(answer, EngineStatus):
-            self._take_answer(target, answer, now)
+            self._record_status(target, answer, now)
             return answer
         took = round(now - began, 4)
         if answer is Cause.HOST:
             logger.info("probe_inconclusive", target=target.id, took=took)
-            return assume_status(target)
+            return build_default_status(target)
         logger.warning(
             "engine_silent",
             target=target.id,
@@ -201,17 +201,17 @@
             took=took,
             cause=answer.value,
         )
-        self._note_dead(target, now)
+        self._mark_dead(target, now)
         if answer is Cause.PATH:
-            self._give_up_centre(target.data_centre, began, now)
+            self._mark_centre_dead(target.data_centre, began, now)
         return None
 
-    def _note_dead(self, target: Target, now: float) -> None:
-        self._looked[target.id] = now
-        self._seen[target.id] = (now, None)
+    def _mark_dead(self, target: Target, now: float) -> None:
+        self._probed_at[target.id] = now
+        self._cached_statuses[target.id] = (now, None)
         self._directory.suspects.note(target.id, Finding.DEAD, now)
 
-    def _give_up_centre(self, centre: DataCentre, since: float, now: float) -> None:
+    def _mark_centre_dead(self, centre: DataCentre, since: float, now: float) -> None:
         """Call all engines of a data centre dead that have shown no sign of life.
 
         Found out one by one, each engine behind a cut costs the requests that are sent
@@ -225,11 +225,11 @@
         ]
         logger.warning("data_centre_silent", centre=centre, engines=len(silent))
         for item in silent:
-            self._note_dead(item, now)
+            self._mark_dead(item, now)
 
-    def _take_answer(self, target: Target, status: EngineStatus, now: float) -> None:
-        self._looked[target.id] = now
-        self._seen[target.id] = (now, status)
+    def _record_status(self, target: Target, status: EngineStatus, now: float) -> None:
+        self._probed_at[target.id] = now
+        self._cached_statuses[target.id] = (now, status)
         if self._directory.suspects.is_dead(target.id, now):
             logger.info("engine_back", target=target.id, address=target.address)
             self._directory.suspects.clear(target.id)
--- a/marigoldswitch/gateway/questions.py
+++ b/marigoldswitch/gateway/questions.py
@@ -17,14 +17,14 @@
     EngineStatus,
 )
 
-TRY_SECONDS = (0.025, 0.035)
+TRY_TIMEOUTS = (0.025, 0.035)
 """Longest time for the answers to two tries: live engines take 2 to 6 ms,
 and what waits is late after 200 ms. A link that loses 3 % of its packets fails one try
 in 16 and both in 250."""
-PAUSE_SECONDS = 0.04
+HOST_PAUSE_SECONDS = 0.04
 """A try that ends this much later than it should was held up by a pause of this host;
 it says nothing of the engine."""
-LAST_TRY_SECONDS = 0.15
+LAST_TRY_TIMEOUT = 0.15
 """Longest time for the last try, made where nobody else has answered this host either:
 a link of 20 Mbit/s needs 85 ms for what a relay sends when a configuration is new. With
 the first two tries a data centre that is cut off is found out after 0.21 s."""
@@ -33,10 +33,10 @@
 AnswerT = TypeVar("AnswerT")
 
 
-class EngineQuestions:
+class EngineStatusReader:
     """Asks engines until they answer or their silence is explained.
 
-    :param get_last_sign: when an engine has last shown that it lives.
+    :param get_last_event_time: when an engine has last shown that it lives.
     """
 
     def __init__(
@@ -44,27 +44,27 @@
         engines: EngineControl,
         directory: Directory,
         clock: Clock,
-        get_last_sign: Callable[[TargetId], float],
+        get_last_event_time: Callable[[TargetId], float],
     ) -> None:
         self.health = LocalHealth()
         self._engines = engines
         self._directory = directory
         self._clock = clock
-        self._get_last_sign = get_last_sign
-        self._controls: dict[DataCentre, asyncio.Future[Any]] = {}
+        self._get_last_event_time = get_last_event_time
+        self._control_probes: dict[DataCentre, asyncio.Future[Any]] = {}
         """Questions to engines that tell of this host, one a data centre at a time."""
 
-    async def ask(self, target: Target) -> EngineStatus | Cause:
+    async def read_status(self, target: Target) -> EngineStatus | Cause:
         """Return what an engine says, or to what its silence is put down.
 
         Takes up to 0.06 s where others have answered meanwhile, else up to 0.21 s.
         """
         began = self._clock.monotonic()
-        tries: _Tries[EngineAnswer] = _Tries()
+        tries: _ConcurrentTries[EngineAnswer] = _ConcurrentTries()
         try:
-            answer = await self._try_thrice(target, began, tries)
+            answer = await self._try_up_to_three_times(target, began, tries)
         finally:
-            tries.cancel()
+            tries.cancel_pending()
         match answer:
             case EngineStatus():
                 return answer
@@ -73,8 +73,8 @@
         now = self._clock.monotonic()
         return self.health.explain_silence(target.data_centre, began, now)
 
-    async def _try_thrice(
-        self, target: Target, began: float, tries: "_Tries[EngineAnswer]"
+    async def _try_up_to_three_times(
+        self, target: Target, began: float, tries: "_ConcurrentTries[EngineAnswer]"
     ) -> EngineAnswer | None:
         """Return the answer to any of up to three tries, none of which is given up.
 
@@ -82,20 +82,20 @@
         each next one begins anew behind all that waits, on a new connection, which has
         the way to go twice.
         """
-        left = sum(TRY_SECONDS) + LAST_TRY_SECONDS
-        answer = await tries.add(self._try(target, left), TRY_SECONDS[0])
+        left = sum(TRY_TIMEOUTS) + LAST_TRY_TIMEOUT
+        answer = await tries.run(self._try(target, left), TRY_TIMEOUTS[0])
         if answer is None:
-            self._ask_others(target, began)
-            left -= TRY_SECONDS[0]
-            answer = await tries.add(self._try(target, left), TRY_SECONDS[1])
+            self._probe_controls(target, began)
+            left -= TRY_TIMEOUTS[0]
+            answer = await tries.run(self._try(target, left), TRY_TIMEOUTS[1])
         if answer is None and not self._is_explained(target, began):
-            last = self._try(target, LAST_TRY_SECONDS)
-            answer = await tries.add(last, LAST_TRY_SECONDS)
+            last = self._try(target, LAST_TRY_TIMEOUT)
+            answer = await tries.run(last, LAST_TRY_TIMEOUT)
         return answer
 
-    async def ask_once(self, target: Target) -> EngineStatus | None:
+    async def read_status_once(self, target: Target) -> EngineStatus | None:
         """Return what an engine says that has been silent before."""
-        answer = await self._try(target, sum(TRY_SECONDS))
+        answer = await self._try(target, sum(TRY_TIMEOUTS))
         return answer if isinstance(answer, EngineStatus) else None
 
     async def has_ended(self, target: Target, born: int) -> bool:
@@ -105,7 +105,7 @@
 
         :param born: when it started, in ms since 1970; 0 where it is not known.
         """
-        for seconds in TRY_SECONDS:
+        for seconds in TRY_TIMEOUTS:
             match await self._engines.read(target.address, seconds):
                 case EngineGone():
                     return True
@@ -120,7 +120,7 @@
     def _is_explained(self, target: Target, began: float) -> bool:
         """Tell whether two tries are enough to call an engine dead."""
         now = self._clock.monotonic()
-        was_paused = now - began > sum(TRY_SECONDS) + PAUSE_SECONDS
+        was_paused = now - began > sum(TRY_TIMEOUTS) + HOST_PAUSE_SECONDS
         cause = self.health.explain_silence(target.data_centre, began, now)
         return cause is Cause.TARGET and not was_paused
 
@@ -132,9 +132,9 @@
         if answer is not None:
             now = self._clock.monotonic()
             self.health.note_answer(target.data_centre, asked, now)
-        return _judge(target, answer) if isinstance(answer, EngineMute) else answer
+        return _interpret_missing_report(target, answer) if isinstance(answer, EngineMute) else answer
 
-    def _ask_others(self, target: Target, since: float) -> None:
+    def _probe_controls(self, target: Target, since: float) -> None:
         """Find out whether this host gets any answers in time.
 
         Asks one engine of the same data centre and one of another, those that have
@@ -143,14 +143,14 @@
         home = target.data_centre
         if self.health.has_answered(home, since):
             return
-        others = self._list_others(target)
+        others = self._list_control_candidates(target)
         near = [item for item in others if item.data_centre == home]
         far = [item for item in others if item.data_centre != home]
         for among in (near, far):
             if among:
-                self._ask_control(max(among, key=self._rank_sign))
+                self._start_control_probe(max(among, key=self._rank_by_last_event))
 
-    def _list_others(self, target: Target) -> list[Target]:
+    def _list_control_candidates(self, target: Target) -> list[Target]:
         """Return the other engines of which nothing bad is known."""
         suspects, now = self._directory.suspects, self._clock.monotonic()
         return [
@@ -159,25 +159,25 @@
             if item.id != target.id and not suspects.is_dead(item.id, now)
         ]
 
-    def _rank_sign(self, target: Target) -> tuple[float, TargetId]:
-        return self._get_last_sign(target.id), target.id
+    def _rank_by_last_event(self, target: Target) -> tuple[float, TargetId]:
+        return self._get_last_event_time(target.id), target.id
 
-    def _ask_control(self, control: Target) -> None:
+    def _start_control_probe(self, control: Target) -> None:
         centre = control.data_centre
-        if centre not in self._controls:
-            work = self._try(control, TRY_SECONDS[1] + LAST_TRY_SECONDS)
+        if centre not in self._control_probes:
+            work = self._try(control, TRY_TIMEOUTS[1] + LAST_TRY_TIMEOUT)
             task = asyncio.ensure_future(work)
-            self._controls[centre] = task
-            task.add_done_callback(lambda _: self._controls.pop(centre))
+            self._control_probes[centre] = task
+            task.add_done_callback(lambda _: self._control_probes.pop(centre))
 
 
-class _Tries(Generic[AnswerT]):
+class _ConcurrentTries(Generic[AnswerT]):
     """Tries to get one answer; each goes on beside those that follow."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Future[AnswerT | None]] = set()
 
-    async def add(
+    async def run(
         self, work: Coroutine[Any, Any, AnswerT | None], seconds: float
     ) -> AnswerT | None:
         """Begin one more; return the answer of any that comes within some time.
@@ -196,22 +196,22 @@
                     return answer
         return None
 
-    def cancel(self) -> None:
+    def cancel_pending(self) -> None:
         """Give up those that still wait."""
         for task in self._tasks:
             task.cancel()
 
 
-def assume_status(target: Target) -> EngineStatus:
+def build_default_status(target: Target) -> EngineStatus:
     """Return the status of a target that lives and of which no more is known."""
     return EngineStatus(target.layers, False, 0)
 
 
-def _judge(target: Target, answer: EngineMute) -> EngineStatus | EngineGone:
+def _interpret_missing_report(target: Target, answer: EngineMute) -> EngineStatus | EngineGone:
     """Return what an answer that is no report says of a target.
 
     Addresses are used again: a 404 for an ended engine had it taken for alive.
     """
     if target.accelerator and not answer.has_reports:
         return EngineGone()
-    return assume_status(target)
+    return build_default_status(target)
--- a/marigoldswitch/tests/test_orderer.py
+++ b/marigoldswitch/tests/test_orderer.py
@@ -14,9 +14,9 @@
 from marigoldswitch.core.suspects import Finding
 from marigoldswitch.gateway.directory import Directory
 from marigoldswitch.gateway.orderer import (
-    DEAD_SECONDS,
-    RETURN_SECONDS,
-    SLOW_SECONDS,
+    REASSIGN_SECONDS,
+    RETURN_SETTLE_SECONDS,
+    SLOW_LOAD_SECONDS,
     LayerOrderer,
 )
 from marigoldswitch.gateway.ports import (
@@ -120,7 +120,7 @@
         self.directory.suspects.note(name, Finding.DEAD, self.now)
 
     def place(self):
-        asyncio.run(self.orderer._place())
+        asyncio.run(self.orderer._apply_layouts())
         return self.engines.orders
 
 
@@ -134,7 +134,7 @@
 def test_layers_of_a_dead_engine_go_to_another_before_its_entry_lapses(site):
     site.lose(1, 1)
     assert site.place() == {}
-    site.now += DEAD_SECONDS
+    site.now += REASSIGN_SECONDS
     orders = site.place()
     assert [item[:5] for item in orders] == ["10.1."]
     assert next(iter(orders.values())).first == 0
@@ -144,7 +144,7 @@
     site.lose(1, 1)
     site.lose(1, 2)
     site.lose(1, 3)
-    site.now += DEAD_SECONDS
+    site.now += REASSIGN_SECONDS
     assert site.place() == {}
 
 
@@ -155,19 +155,19 @@
     site.enter(1, 2, (4, 8), revision=5)
     site.enter(1, 3, (4, 8), revision=6)
     assert site.place() == {}
-    site.now += RETURN_SECONDS / 2
+    site.now += RETURN_SETTLE_SECONDS / 2
     site.enter(1, 1, (0, 4), revision=7)
-    site.now += RETURN_SECONDS
+    site.now += RETURN_SETTLE_SECONDS
     assert site.place() == {}
 
 
 def test_layers_that_an_engine_takes_long_to_load_are_given_to_another(site):
     site.lose(1, 1)
-    site.now += DEAD_SECONDS
+    site.now += REASSIGN_SECONDS
     (first,) = site.place()
-    site.now += SLOW_SECONDS
+    site.now += SLOW_LOAD_SECONDS
     site.directory.suspects.note(TargetId("1-1"), Finding.DEAD, site.now - 0.1)
-    site.now += DEAD_SECONDS
+    site.now += REASSIGN_SECONDS
     orders = site.place()
     assert len(orders) == 2 and first in orders
     assert {item.first for item in orders.values()} == {0}
@@ -180,12 +180,12 @@
     site.outage = OutageView(HOST, AWAY_SECONDS, False, False, {})
     site.lose(1, 1)
     site.lose(2, 1)
-    site.now += DEAD_SECONDS
+    site.now += REASSIGN_SECONDS
     asyncio.run(site.orderer.tick())
     assert {address[:5] for address in site.engines.orders} == {"10.1."}
     site.outage = OutageView(HOST, 0.0, True, True, {})
     site.orderer.lease.see = lambda row, now: None
-    site.orderer._looked = site.now
+    site.orderer._lease_read_at = site.now
     site.orderer._spread.hears_orderer = True
     site.engines.orders.clear()
     asyncio.run(site.orderer.tick())
