--- a/marigoldswitch/gateway/orderer.py
+++ b/marigoldswitch/gateway/orderer.py
@@ -1,9 +1,9 @@
-"""Orders engines to hold layers, as the one host that may.
+"""Assigns model layers to engines; only one host of a region does so at a time.
 
-Any host may be the holder of the lease, a row of the platform's table service, or stand
-in for one while the store is away. A holder keeps nothing of its own: the targets' rows
-say what engines hold, and each order names the engine's own count of orders, so that an
-order that is carried out late, after a newer one, is refused by the engine.
+Any host can hold the lease, a row of the platform's table service, or act as a deputy
+while the store is unavailable. The holder keeps no state that has to survive it: the
+targets' rows record which layers engines hold. Each order carries the engine's own
+order count, so that the engine rejects an order that arrives after a newer one.
 """
 
 import asyncio
@@ -38,56 +38,56 @@
 logger = structlog.get_logger(__name__)
 
 LEASE_TERMS = LeaseTerms(seconds=2.4, margin=0.4)
-"""The lease: renewed every 0.6 s, so that three lost renewals are borne; the longer it
-is, the longer a hole stays open after the loss of its holder. The margin is longer than
-a read and an order take."""
+"""Renewed every 0.6 s, so that it survives three lost renewals. A longer lease leaves
+layers uncovered for longer after its holder is lost. The margin is longer than a status
+read and an order take."""
 LEASE_GIVE_UP_SECONDS = 1.2
-"""Time without a renewal after which a holder that the store turns away gives the lease
-up and says so: two renewals have failed, and another host can take over at once."""
+"""Time without a renewal after which a holder that can't read the lease gives it up and
+tells its peers: two renewals have failed, and another host can take over at once."""
 TICK_SECONDS = 0.25
 IDLE_TICK_SECONDS = 1.0
-"""Pause between two looks of a host that leaves the lease to those that read."""
+"""Interval between ticks of a host that neither holds the lease nor reads the store."""
 LEASE_READ_INTERVAL = 0.6
-"""Least time between two reads of the lease by a host that does not hold it."""
+"""Minimum time between two lease reads of a host that does not hold the lease."""
 SETTLE_SECONDS = 1.3
-"""A first layout waits until no engine has entered itself for this long, which is a
-heartbeat: the large ones must be placed first."""
+"""The first layout is planned once no engine has registered for this long, about one
+heartbeat, because large engines must be placed first."""
 STATUS_TIMEOUT = 0.3
 FIRST_CHECK_SECONDS = 0.4
-"""Time after an order in which nothing can have been loaded yet."""
+"""Time after an order before its first check; no layer can have loaded earlier."""
 ORDER_ACCEPT_SECONDS = 1.5
-"""Time after which an engine that is neither busy nor as ordered has not taken the
-order, for its own report is a few hundred milliseconds old."""
+"""Time after which an engine that is neither busy nor holds the ordered layers is taken
+not to have accepted the order. Its status report lags by a few hundred milliseconds."""
 REASSIGN_SECONDS = 0.2
-"""Time after which the layers of an engine that does not answer are given to others:
-its entry lapses only after three heartbeats, 3.6 s, in which its data centre has no
-chain. Two tries of 60 ms in all have failed by then; a live engine that was cut off for
-a moment keeps what it holds, and others give it back."""
+"""Time after which the layers of an unresponsive engine are assigned to others. Its row
+expires only after three heartbeats (3.6 s), in which its data centre has no chain. Two
+tries of 60 ms in all have failed by then. A live engine that was briefly unreachable
+keeps its layers, and the others release them again."""
 PARTITION_SHARE = 0.5
-"""Share of a data centre's engines above which they are taken to be cut off from this
-host instead of dead; no order would reach them."""
+"""Share of a data centre's engines that must be unresponsive before they count as
+partitioned from this host instead of dead; orders would not reach them."""
 SLOW_LOAD_SECONDS = 3.0
-"""Time after which the layers that an order names count as held by nobody: a step loads
-in 1.4 s, but an engine first waits for the streams that it began itself. A data centre
-was left with a hole for 10 s by one that was counted on."""
+"""Time after which ordered layers that are still not loaded no longer count as held. A
+step loads in 1.4 s, but the engine first waits for the streams that started on it.
+Counting on such an engine once left a data centre without some layers for 10 s."""
 RETURN_SETTLE_SECONDS = 0.4
-"""Time after the return of an engine that still holds layers in which its data centre
-is left as it is: the entries of all that were cut off come back within half a second,
-and what is missing until then is no hole."""
+"""Time after an engine that still holds layers returns during which the layout of its
+data centre is not changed. The rows of all engines of a healed partition return within
+half a second; layers that are missing until then are not lost."""
 ORDER_EXPIRY_SECONDS = 20.0
-"""Time after which an order is forgotten, longer than loading a whole model."""
+"""Time after which a pending order is dropped; longer than loading a whole model."""
 
 
 @dataclass(frozen=True, slots=True)
 class PendingOrder:
-    """An order that is not known to be carried out yet."""
+    """An order whose completion is not confirmed yet."""
 
     layers: LayerRange
     sent_at: float
 
 
 class LayerOrderer:
-    """Holds or watches the lease; as its holder brings engines to the layout."""
+    """Holds or watches the lease; as holder or deputy, applies the planned layout."""
 
     def __init__(
         self,
@@ -112,20 +112,20 @@
         self._region = region
         self._pending: dict[TargetId, PendingOrder] = {}
         self._changed_at = clock.monotonic()
-        self._unchanged_engines: dict[ServiceName, list[EngineSlot]] = {}
-        """Engines for which the last plan had nothing to change."""
+        self._stable: dict[ServiceName, list[EngineSlot]] = {}
+        """Engine states for which the last plan required no change, by service."""
         self._returned_at: dict[DataCentre, float] = {}
-        """When an engine that holds layers last came to a data centre."""
+        """When an engine that already held layers last joined each data centre."""
         self._partitioned: set[DataCentre] = set()
-        """Data centres whose engines this host can't reach."""
+        """Data centres that are partitioned from this host."""
         self._lease_read_at = float("-inf")
         self._retired = False
         self._is_deputy = False
-        """This host orders without the lease, as nobody can hold it."""
+        """Whether this host sends orders without the lease during a store outage."""
         directory.registry.watch(self._note_change)
 
     async def run(self) -> None:
-        """Keep the lease and the layout until cancelled."""
+        """Maintain the lease and the layout until cancelled."""
         while True:
             is_active = self.lease.holds or self._spread.roster.must_read()
             await asyncio.sleep(TICK_SECONDS if is_active else IDLE_TICK_SECONDS)
@@ -135,7 +135,7 @@
                 logger.exception("orders_failed", region=self._region)
 
     async def tick(self) -> None:
-        """Look at the lease if that is due and, as its holder, take the next steps."""
+        """Update the lease if due; if allowed to order, check and send orders."""
         if self._retired:
             return
         self._update_deputy_role()
@@ -146,7 +146,7 @@
             await self._apply_layouts()
 
     def retire(self) -> None:
-        """Order nothing from now on, and let another host take over at once."""
+        """Stop ordering and give up the lease, so that another host can take over."""
         self._retired = True
         self._is_deputy = False
         self.lease.give_up()
@@ -161,7 +161,7 @@
             self._probes.forget(target.id)
 
     def _update_deputy_role(self) -> None:
-        """Stand in for a holder of the lease while the store is away, or no longer."""
+        """Start or stop acting as a deputy, depending on the state of the store."""
         view = self._spread.look_at_outage()
         stands_in = not self.lease.holds and is_deputy(view)
         if stands_in == self._is_deputy:
@@ -184,11 +184,13 @@
     async def _keep_lease(self) -> None:
         now = self._clock.monotonic()
         if not self.lease.holds:
-            should_wait = self._spread.hears_orderer or now - self._lease_read_at < LEASE_READ_INTERVAL
-            # Few hosts of a data centre are enough to take the lease over, and each
-            # look is paid for.
-            should_wait = should_wait or not self._spread.roster.must_read()
-            if should_wait or not await self._read_lease():
+            waits = (
+                self._spread.hears_orderer
+                or now - self._lease_read_at < LEASE_READ_INTERVAL
+            )
+            # A few hosts per data centre are enough, and every read is billed.
+            waits = waits or not self._spread.roster.must_read()
+            if waits or not await self._read_lease():
                 return
         claim = self.lease.plan_claim(self._clock.monotonic())
         if claim is None:
@@ -205,18 +207,18 @@
             case Err(fault):
                 logger.info("lease_not_written", why=fault.value)
                 if fault is StoreFault.RESTORED:
-                    # The row may have been that of a rival, who finds out later.
+                    # The row may have been another holder's, which has yet to notice.
                     self.lease.give_up()
                 if not await self._read_lease():
                     return
 
     async def _read_lease(self) -> bool:
-        """Read the lease's row; tell whether it was read."""
+        """Read the lease's row and return whether that succeeded."""
         self._lease_read_at = self._clock.monotonic()
-        was_holder = self.lease.holds
+        held = self.lease.holds
         read = await self._table.read(LEASE_TABLE, self._region)
         if isinstance(read, Err):
-            if was_holder and self.lease.age(self._clock.monotonic()) > LEASE_GIVE_UP_SECONDS:
+            if held and self.lease.age(self._clock.monotonic()) > LEASE_GIVE_UP_SECONDS:
                 logger.warning("lease_given_up", why=read.err_value.value)
                 self.lease.give_up()
             return False
@@ -226,7 +228,7 @@
             logger.error("lease_unreadable", table=LEASE_TABLE, key=self._region)
             self.lease.give_up()
             return False
-        if was_holder and not self.lease.holds:
+        if held and not self.lease.holds:
             logger.warning("lease_lost", holder=self.lease.holder)
             self._pending.clear()
         return True
@@ -243,31 +245,31 @@
 
     async def _apply_layout(self, service: ServiceSpec, model: ModelSpec) -> None:
         targets = self._list_controlled(service.name)
-        engines = [self._build_engine_slot(item) for item in self._exclude_dead(targets)]
-        if not self._is_settled(engines) or engines == self._unchanged_engines.get(service.name):
+        engines = [self._build_slot(item) for item in self._exclude_dead(targets)]
+        if not self._is_settled(engines) or engines == self._stable.get(service.name):
             return
         if self._is_deputy and not holds_model(model, engines):
-            # It shares a model with others, of which a deputy sees a part only.
+            # The model spans data centres, of which a deputy orders only its own.
             return
         wanted = plan_layout(model, engines)
         if not wanted:
-            # Planned again when something changes: 16 ms with 600 engines.
-            self._unchanged_engines[service.name] = engines
+            # Skip planning until an engine changes: it takes 16 ms with 600 engines.
+            self._stable[service.name] = engines
         by_id = {item.id: item for item in targets}
         orders = [
-            self._send_order(by_id[name], layers, model) for name, layers in wanted.items()
+            self._send(by_id[name], layers, model) for name, layers in wanted.items()
         ]
         await asyncio.gather(*orders)
 
     def _list_controlled(self, service: ServiceName) -> list[Target]:
-        """Return the engines that this host may order."""
+        """Return the engines to which this host may send orders."""
         targets = self._directory.registry.list_targets(service)
         if not self._is_deputy:
             return targets
         return [item for item in targets if item.data_centre == self._home]
 
     def _exclude_dead(self, targets: list[Target]) -> list[Target]:
-        """Return the engines that are there, by findings that rows don't show yet."""
+        """Return the targets without dead ones, but with those behind a partition."""
         now = self._clock.monotonic()
         suspects = self._directory.suspects
         dead = {
@@ -275,19 +277,19 @@
             for item in targets
             if suspects.has_been_dead(item.id, REASSIGN_SECONDS, now)
         }
-        total_by_centre = Counter(item.data_centre for item in targets)
-        dead_by_centre = Counter(item.data_centre for item in targets if item.id in dead)
-        partitioned = {
+        totals = Counter(item.data_centre for item in targets)
+        dead_counts = Counter(item.data_centre for item in targets if item.id in dead)
+        cut = {
             centre
-            for centre, number in dead_by_centre.items()
-            if number > PARTITION_SHARE * total_by_centre[centre]
+            for centre, number in dead_counts.items()
+            if number > PARTITION_SHARE * totals[centre]
         }
-        self._partitioned = partitioned
+        self._partitioned = cut
         return [
-            item for item in targets if item.id not in dead or item.data_centre in partitioned
+            item for item in targets if item.id not in dead or item.data_centre in cut
         ]
 
-    def _build_engine_slot(self, target: Target) -> EngineSlot:
+    def _build_slot(self, target: Target) -> EngineSlot:
         pending = self._pending.get(target.id)
         now = self._clock.monotonic()
         layers = target.layers
@@ -306,17 +308,15 @@
         )
 
     def _is_settled(self, engines: list[EngineSlot]) -> bool:
-        """Tell whether the layout may be planned now."""
+        """Return whether the layout may be planned now."""
         if any(item.layers is not None for item in engines):
             return True
         return self._clock.monotonic() - self._changed_at >= SETTLE_SECONDS
 
-    async def _send_order(
-        self, target: Target, layers: LayerRange, model: ModelSpec
-    ) -> None:
+    async def _send(self, target: Target, layers: LayerRange, model: ModelSpec) -> None:
         accelerator = model.accelerators.get(target.accelerator)
         if accelerator is None or not model.fits(accelerator, layers):
-            logger.error("order_too_large", target=target.id, layers=_format_layers(layers))
+            logger.error("order_too_large", target=target.id, layers=_format(layers))
             return
         status = await self._engines.read(target.address, STATUS_TIMEOUT)
         if not isinstance(status, EngineStatus) or status.is_busy:
@@ -334,14 +334,14 @@
         if reply.result is not OrderResult.CONFLICT:
             self._pending[target.id] = PendingOrder(layers, sent)
             if status.layers is not None and not layers.contains(status.layers):
-                # It takes nothing new for the layers that it gives up.
+                # It accepts no new requests for the layers that it gives up.
                 self._note_layers(target.id, layers.intersect(status.layers))
         logger.info(
             "order_sent",
             target=target.id,
             address=target.address,
-            layers=_format_layers(layers),
-            held=_format_layers(status.layers),
+            layers=_format(layers),
+            held=_format(status.layers),
             sequence=status.sequence,
             result=reply.result.value,
             fencing=self.lease.fencing,
@@ -358,7 +358,7 @@
         await asyncio.gather(*(self._check_order(name, order) for name, order in due))
 
     async def _check_order(self, name: TargetId, order: PendingOrder) -> None:
-        """Look whether an order has been carried out."""
+        """Drop an order that was carried out, was not accepted or has expired."""
         target = self._directory.registry.targets.get(name)
         now = self._clock.monotonic()
         if target is None or now - order.sent_at > ORDER_EXPIRY_SECONDS:
@@ -370,11 +370,11 @@
         if status.layers == order.layers:
             self._note_done(name, order.layers, status)
         elif not status.is_busy and now - order.sent_at > ORDER_ACCEPT_SECONDS:
-            logger.info("order_not_taken", target=name, layers=_format_layers(order.layers))
+            logger.info("order_not_taken", target=name, layers=_format(order.layers))
             self._pending.pop(name, None)
 
     def _has_restarted(self, name: TargetId, status: EngineStatus) -> bool:
-        """Tell whether an engine has lost what it was known to hold; take it so."""
+        """Return whether an engine has restarted, and record what it holds if so."""
         if status.born <= self._directory.registry.get_born(name):
             return False
         self._probes.note_status(name, status)
@@ -388,12 +388,12 @@
         self._note_layers(name, layers)
 
     def _note_layers(self, name: TargetId, layers: LayerRange | None) -> None:
-        """Tell all hosts what an engine holds, sooner than its row does."""
+        """Publish the layers of an engine to all hosts before its row shows them."""
         registry = self._directory.registry
         registry.note_layers(name, layers, registry.get_born(name))
         self._spread.recent_layers[name] = (self._clock.monotonic(), layers)
         self._spread.tell_now()
 
 
-def _format_layers(layers: LayerRange | None) -> list[int] | None:
+def _format(layers: LayerRange | None) -> list[int] | None:
     return [layers.first, layers.end] if layers else None
--- a/marigoldswitch/gateway/planner.py
+++ b/marigoldswitch/gateway/planner.py
@@ -1,4 +1,4 @@
-"""Finds chains of engines for requests, with what this host knows of their loads."""
+"""Chooses chains of engines for requests by the engine loads known to this host."""
 
 import random
 from collections.abc import Callable, Collection, Sequence
@@ -27,13 +27,17 @@
 from marigoldswitch.gateway.directory import Directory
 
 LEAVING_USE_SECONDS = 0.8
-"""Time for which an engine that leaves may still get work where a data centre has no
-chain without it: it serves for 2 s after the store knows that it leaves, which this
-host learns up to half a second later, and a new holder of its layers needs 1.5 s."""
+"""Time for which a leaving engine may still get requests if its data centre has no
+chain without it. It serves for 2 s after the store records that it leaves, which this
+host learns up to half a second later; a new holder of its layers needs 1.5 s."""
 
 
 class ChainPlanner:
-    """Chooses chains and counts what they hold."""
+    """Chooses chains and tracks the load that their requests put on engines.
+
+    :param home: data centre of this host.
+    :param source: random numbers for choosing among chains of similar cost.
+    """
 
     def __init__(
         self,
@@ -44,7 +48,7 @@
         source: random.Random,
     ) -> None:
         self.slowness: dict[TargetId, float] = {}
-        """Time for a step over the usual one, of engines that are known to be slow."""
+        """Step time relative to the usual one, for engines known to be slow."""
         self._directory = directory
         self._loads = loads
         self._clock = clock
@@ -52,9 +56,9 @@
         self._source = source
         self._crossing_budget = CrossingBudget()
         self.count_hosts: Callable[[], int] = lambda: 1
-        """Live hosts, this one among them."""
+        """Returns the number of live hosts, including this one."""
         self.count_near: Callable[[], int] = lambda: 1
-        """Those of this data centre."""
+        """Returns the number of live hosts in this data centre, including this one."""
 
     def find(
         self,
@@ -63,10 +67,14 @@
         avoid: frozenset[TargetId] = frozenset(),
         is_new: bool = True,
     ) -> Chain | None:
-        """Return the chain for a request, or ``None`` where there is no room.
+        """Return a chain for a request, or ``None`` if there is no capacity.
+
+        Prefers a chain inside this data centre, if necessary over engines that are
+        leaving or have failed a request, to one that crosses data centres.
 
-        :param avoid: targets that have just failed it.
-        :param is_new: its caller has no part of an answer yet.
+        :param tokens: context tokens to reserve memory for.
+        :param avoid: targets that have just failed this request.
+        :param is_new: whether the caller has received no part of the answer yet.
         """
         model = service.model
         if model is None:
@@ -91,10 +99,14 @@
             return None
         seconds = _estimate_crossing_seconds(wide.crossings, model, tokens)
         hosts, now = self.count_hosts(), self._clock.monotonic()
-        return wide if self._crossing_budget.has_room(seconds, hosts, now, is_new) else None
+        return (
+            wide
+            if self._crossing_budget.has_room(seconds, hosts, now, is_new)
+            else None
+        )
 
     def take(self, service: ServiceSpec, chain: Chain, tokens: int) -> None:
-        """Count a request on a chain that was found for it."""
+        """Record that a request uses a chain, with its data centre crossings."""
         if service.model is not None:
             seconds = _estimate_crossing_seconds(chain.crossings, service.model, tokens)
             self._crossing_budget.spend(seconds)
@@ -107,12 +119,15 @@
         stages: Sequence[Stage],
         lost: Collection[TargetId],
     ) -> Chain | None:
-        """Return a chain round some engines for a request under way.
+        """Return a chain without some engines for a running request, if there is one.
 
-        Its first stage stays. The others stay as well if there is a way; else they are
-        sought anew, inside the data centre of the first and then beyond it.
+        The first stage is kept. So are the other stages that are not lost, if possible;
+        otherwise all of them are replaced. Each is tried inside the data centre of the
+        first stage, then across data centres.
 
-        :param lost: engines to do without.
+        :param tokens: context tokens to reserve memory for.
+        :param stages: the current chain.
+        :param lost: engines to exclude.
         """
         model = service.model
         if model is None:
@@ -136,7 +151,7 @@
         return None
 
     def _list_centres(self, stages: Sequence[Stage]) -> dict[TargetId, DataCentre]:
-        """Return where the engines of a chain are; one that is gone counts as here."""
+        """Return the data centre of each engine; unknown engines count as local."""
         rows = self._directory.registry.rows
         return {
             item.target: rows[item.target].target.data_centre
@@ -146,7 +161,7 @@
         }
 
     def describe_shortage(self, service: ServiceSpec, tokens: int) -> dict[str, object]:
-        """Return why there is no chain, for the log: layers, memory or crossings."""
+        """Return log fields that tell whether layers, memory or crossings are short."""
         if service.model is None:
             return {}
         offers = self._list_offers(service, service.model, tokens)
@@ -162,12 +177,12 @@
         }
 
     def hold(self, stages: Sequence[Stage], tokens: int) -> None:
-        """Count a request at the stages of its chain."""
+        """Add a request to the load of its chain's engines."""
         for item in stages:
             self._loads.hold(item.target, _build_usage(item, tokens))
 
     def release(self, stages: Sequence[Stage], tokens: int) -> None:
-        """Count a request as ended."""
+        """Remove an ended request from the load of its chain's engines."""
         for item in stages:
             self._loads.release(item.target, _build_usage(item, tokens))
 
@@ -186,7 +201,7 @@
     def _list_leaving(
         self, service: ServiceSpec, model: ModelSpec, tokens: int
     ) -> list[StageOffer]:
-        """Return what engines offer that have just begun to leave."""
+        """Return the offers of engines that have just begun to leave."""
         now = self._clock.monotonic()
         registry, suspects = self._directory.registry, self._directory.suspects
         targets = [
@@ -199,9 +214,10 @@
     def _list_failing(
         self, service: ServiceSpec, model: ModelSpec, tokens: int
     ) -> list[StageOffer]:
-        """Return what engines offer that have lost a request: better than nothing.
+        """Return the offers of engines that are excluded for losing a request.
 
-        Where a host's connections are all reset, no other engines may be left.
+        They are a last resort: if all connections of a host are reset, no other engines
+        may be left.
         """
         now = self._clock.monotonic()
         suspects = self._directory.suspects
@@ -222,9 +238,10 @@
     def _build_offer(
         self, target: Target, model: ModelSpec, tokens: int, peers: int
     ) -> StageOffer | None:
-        """Return what an engine offers, or ``None`` where it can take nothing.
+        """Return an engine's offer, or ``None`` if it can run no part of a request.
 
-        :param peers: other hosts of this data centre, which choose as this one does.
+        :param peers: number of other hosts in this data centre, which are expected to
+            choose engines as this host does.
         """
         accelerator = model.accelerators.get(target.accelerator)
         layers = target.layers
@@ -252,11 +269,11 @@
 
 
 def _estimate_crossing_seconds(crossings: int, model: ModelSpec, tokens: int) -> float:
-    """Return the seconds that a prompt keeps the pipe between data centres busy."""
+    """Return the seconds for which a prompt occupies the link between data centres."""
     return crossings * tokens * model.crossing_seconds
 
 
 def _build_usage(stage: Stage, tokens: int) -> Usage:
-    """Return what a request takes of an engine that runs a part of its layers."""
+    """Return the usage that a request adds to the engine that runs a stage."""
     memory = tokens * (stage.layers.end - stage.layers.first)
     return Usage(1, memory, begun=int(stage.layers.first == 0))
--- a/marigoldswitch/gateway/probing.py
+++ b/marigoldswitch/gateway/probing.py
@@ -1,4 +1,4 @@
-"""Looks at engines that a request waits for, once for all that wait."""
+"""Probes engines that appear silent, with one shared probe for all waiting requests."""
 
 import asyncio
 from collections.abc import Coroutine, Iterable
@@ -20,17 +20,17 @@
 logger = structlog.get_logger(__name__)
 
 STATUS_CACHE_SECONDS = 0.1
-"""Time for which an answer also serves others that ask: dozens of streams pass through
-an engine and notice its silence together."""
+"""Time for which a status is reused for other requests. Dozens of streams pass through
+an engine and notice its silence at the same time."""
 RECHECK_INTERVAL = 0.6
-"""Time between two looks at an engine that was found dead. Shorter than the time for
-which it is left out, so that no request is sent to find out whether it lives."""
+"""Minimum time between two probes of an engine that was found dead. Shorter than its
+exclusion, so that no request has to find out whether it is alive."""
 SLOW_FACTOR = 1.3
-"""Slowness from which an engine counts as slow: below it is noise."""
+"""Slowness from which an engine counts as slow; lower values are noise."""
 
 
 class EngineProbes:
-    """Reads engines on suspicion and keeps what they said for a moment."""
+    """Probes suspected engines and caches their status for a short time."""
 
     def __init__(
         self,
@@ -46,36 +46,41 @@
             engines, directory, clock, self._get_last_event_time
         )
         self.gaps = HostGaps()
-        """Gaps between the events of all streams, by which silence is told."""
+        """Gaps between the events of all streams, used to detect silence."""
         self._recheck_count = 0
-        """Looks at silent data centres, so that each is at another engine."""
+        """Rechecks of silent data centres; rotates through their engines."""
         self._running_probes: dict[TargetId, asyncio.Task[EngineStatus | None]] = {}
-        self._background_checks: dict[TargetId, asyncio.Future[EngineStatus | None]] = {}
+        self._background_checks: dict[
+            TargetId, asyncio.Future[EngineStatus | None]
+        ] = {}
         self._cached_statuses: dict[TargetId, tuple[float, EngineStatus | None]] = {}
         self._probed_at: dict[TargetId, float] = {}
-        """When each engine was last looked at."""
+        """When each engine was last probed."""
         self._last_event_at: dict[TargetId, float] = {}
-        """When an event last came over a chain through each engine."""
+        """When an event last arrived over a chain through each engine."""
 
     def note_alive(self, targets: Iterable[TargetId]) -> None:
-        """Learn that an event has just come over these engines."""
+        """Record that an event has just arrived over these engines."""
         now = self._clock.monotonic()
         for name in targets:
             self._last_event_at[name] = now
 
     def is_alive(self, target: TargetId, since: float) -> bool:
-        """Tell whether an event has come through an engine since a moment."""
+        """Return whether an event has arrived through an engine since a moment.
+
+        :param since: in monotonic seconds.
+        """
         return self._get_last_event_time(target) > since
 
     def has_served(self, target: TargetId) -> bool:
-        """Tell whether an event has ever come through an engine."""
+        """Return whether an event has ever arrived through an engine."""
         return target in self._last_event_at
 
     def _get_last_event_time(self, target: TargetId) -> float:
         return self._last_event_at.get(target, float("-inf"))
 
     async def check(self, target: Target) -> EngineStatus | None:
-        """Return what an engine says; one that says nothing becomes a suspect."""
+        """Return the status of an engine, or ``None`` and mark it dead."""
         now = self._clock.monotonic()
         if self._directory.suspects.is_dead(target.id, now):
             return None
@@ -85,9 +90,9 @@
         return await asyncio.shield(self._get_or_start_probe(target))
 
     async def has_ended(self, target: Target, born: int) -> bool:
-        """Tell whether the process of a target has certainly ended.
+        """Return whether the process of a target has certainly ended.
 
-        :param born: when it had started, in ms since 1970; 0 where it is not known.
+        :param born: start of the process, in ms since 1970; 0 if unknown.
         """
         return await self._status_reader.has_ended(target, born)
 
@@ -104,10 +109,10 @@
         return task
 
     def recheck_dead(self) -> None:
-        """Look again at the engines that were found dead, each from time to time.
+        """Probe the engines that were found dead and are due for a recheck.
 
-        Where a data centre is silent, one look stands for all of its engines: looked at
-        each by itself, a cut would cost hosts times engines probes a round.
+        One probe stands for all engines of a silent data centre. Otherwise a partition
+        would cost a probe for each pair of host and engine in every round.
         """
         now = self._clock.monotonic()
         due: dict[DataCentre, list[Target]] = {}
@@ -122,7 +127,7 @@
                 due.setdefault(target.data_centre, []).append(target)
         for centre, engines in due.items():
             if self._is_centre_silent(centre, now - 2.0 * RECHECK_INTERVAL):
-                # Another one each time: one that is gone for good tells of none.
+                # Rotate: an engine that is gone for good says nothing of the others.
                 self._recheck_count += 1
                 chosen = engines[self._recheck_count % len(engines)]
                 self._start_recheck(chosen, lost[centre])
@@ -131,7 +136,7 @@
                 self._start_recheck(item, [item])
 
     def _is_centre_silent(self, centre: DataCentre, since: float) -> bool:
-        """Tell whether no engine of a data centre has shown a sign of life."""
+        """Return whether no engine of a data centre was heard since a moment."""
         if self._status_reader.health.has_answered(centre, since):
             return False
         return not any(
@@ -145,7 +150,7 @@
         return now - looked >= RECHECK_INTERVAL
 
     def _start_recheck(self, target: Target, group: list[Target]) -> None:
-        """Look at one engine for a group of them, unless that is being done."""
+        """Probe one engine on behalf of a group, unless it is already being probed."""
         if target.id in self._running_probes:
             return
         now = self._clock.monotonic()
@@ -156,7 +161,7 @@
     async def _recheck(
         self, target: Target, group: list[Target]
     ) -> EngineStatus | None:
-        """Ask an engine once; the others of its group live if it does."""
+        """Probe an engine once; if it answers, probe the rest of its group as well."""
         status = await self._status_reader.read_status_once(target)
         now = self._clock.monotonic()
         if status is None:
@@ -170,14 +175,16 @@
         return status
 
     def check_later(self, target: Target) -> None:
-        """Look at an engine of which a peer says that it is silent."""
+        """Probe an engine without waiting for the result, as when a peer suspects it."""
         if target.id not in self._background_checks:
             task = asyncio.ensure_future(self.check(target))
             self._background_checks[target.id] = task
-            task.add_done_callback(lambda _: self._background_checks.pop(target.id, None))
+            task.add_done_callback(
+                lambda _: self._background_checks.pop(target.id, None)
+            )
 
     def forget(self, target: TargetId) -> None:
-        """Forget an engine that is gone."""
+        """Discard all state of an engine that is gone."""
         self._cached_statuses.pop(target, None)
         self._last_event_at.pop(target, None)
         self._probed_at.pop(target, None)
@@ -212,11 +219,11 @@
         self._directory.suspects.note(target.id, Finding.DEAD, now)
 
     def _mark_centre_dead(self, centre: DataCentre, since: float, now: float) -> None:
-        """Call all engines of a data centre dead that have shown no sign of life.
+        """Mark all engines of a data centre dead that were not heard since a moment.
 
-        Found out one by one, each engine behind a cut costs the requests that are sent
-        there 0.25 s for a connection or a first event; so all of them are known 0.21 s
-        after the first was looked at.
+        Detected one by one, each engine behind a partition would cost the requests sent
+        to it 0.25 s for a connection or a first event. This way all are known to be
+        unreachable 0.21 s after the first probe began.
         """
         silent = [
             item
@@ -236,7 +243,7 @@
         self.note_status(target.id, status)
 
     def note_status(self, target: TargetId, status: EngineStatus) -> None:
-        """Take what an engine has said."""
+        """Update the registry and the planner from an engine's status."""
         registry = self._directory.registry
         if status.born > registry.get_born(target) > 0:
             logger.info("engine_restarted", target=target, born=status.born)
--- a/marigoldswitch/gateway/questions.py
+++ b/marigoldswitch/gateway/questions.py
@@ -1,4 +1,8 @@
-"""Asks engines what they are doing, and others beside those that are silent."""
+"""Requests the status of engines and finds the cause when one does not answer.
+
+If an engine is silent, other engines are probed as controls: their answers show whether
+the engine, the path to its data centre or this host is at fault.
+"""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -18,25 +22,27 @@
 )
 
 TRY_TIMEOUTS = (0.025, 0.035)
-"""Longest time for the answers to two tries: live engines take 2 to 6 ms,
-and what waits is late after 200 ms. A link that loses 3 % of its packets fails one try
-in 16 and both in 250."""
+"""Timeouts of the first two tries, in seconds. Live engines answer in 2 to 6 ms, and
+waiting requests are late after 200 ms. A link that loses 3 % of its packets fails one
+try in 16 and both in 250."""
 HOST_PAUSE_SECONDS = 0.04
-"""A try that ends this much later than it should was held up by a pause of this host;
-it says nothing of the engine."""
+"""Tries that end this much later than they should were delayed by a pause of this host
+and say nothing about the engine."""
 LAST_TRY_TIMEOUT = 0.15
-"""Longest time for the last try, made where nobody else has answered this host either:
-a link of 20 Mbit/s needs 85 ms for what a relay sends when a configuration is new. With
-the first two tries a data centre that is cut off is found out after 0.21 s."""
+"""Timeout of the third try, in seconds; made unless other engines in the data centre
+have answered. A relay's link of 20 Mbit/s takes 85 ms to pass on a new configuration.
+With the first two tries, a partitioned data centre is detected after 0.21 s."""
 
 
 AnswerT = TypeVar("AnswerT")
 
 
 class EngineStatusReader:
-    """Asks engines until they answer or their silence is explained.
+    """Requests the status of engines until they answer or their silence is explained.
 
-    :param get_last_event_time: when an engine has last shown that it lives.
+    :param get_last_event_time: returns when an event last arrived through an engine, in
+        monotonic seconds.
+    :ivar health: recent answers, by which the cause of a silence is determined.
     """
 
     def __init__(
@@ -52,12 +58,13 @@
         self._clock = clock
         self._get_last_event_time = get_last_event_time
         self._control_probes: dict[DataCentre, asyncio.Future[Any]] = {}
-        """Questions to engines that tell of this host, one a data centre at a time."""
+        """Running probes of control engines, at most one for each data centre."""
 
     async def read_status(self, target: Target) -> EngineStatus | Cause:
-        """Return what an engine says, or to what its silence is put down.
+        """Return the status of an engine, or the cause of its silence.
 
-        Takes up to 0.06 s where others have answered meanwhile, else up to 0.21 s.
+        Takes up to 0.06 s if others in its data centre answer meanwhile, else up to
+        0.21 s.
         """
         began = self._clock.monotonic()
         tries: _ConcurrentTries[EngineAnswer] = _ConcurrentTries()
@@ -76,11 +83,11 @@
     async def _try_up_to_three_times(
         self, target: Target, began: float, tries: "_ConcurrentTries[EngineAnswer]"
     ) -> EngineAnswer | None:
-        """Return the answer to any of up to three tries, none of which is given up.
+        """Return the first answer to up to three tries; earlier tries keep running.
 
-        On a link that is full for 0.1 s the first ones are answered late: given up,
-        each next one begins anew behind all that waits, on a new connection, which has
-        the way to go twice.
+        On a link that is congested for 0.1 s the first tries are answered late. If they
+        were cancelled, each new one would queue behind all waiting traffic and need an
+        extra round trip for a new connection.
         """
         left = sum(TRY_TIMEOUTS) + LAST_TRY_TIMEOUT
         answer = await tries.run(self._try(target, left), TRY_TIMEOUTS[0])
@@ -94,16 +101,17 @@
         return answer
 
     async def read_status_once(self, target: Target) -> EngineStatus | None:
-        """Return what an engine says that has been silent before."""
+        """Return the status of an engine that was silent before, with a single try."""
         answer = await self._try(target, sum(TRY_TIMEOUTS))
         return answer if isinstance(answer, EngineStatus) else None
 
     async def has_ended(self, target: Target, born: int) -> bool:
-        """Tell whether the process of a target has certainly ended.
+        """Return whether the process of a target has certainly ended.
 
-        Its port is closed, or a later start answers there. Silence proves nothing.
+        It has if its port is closed or another process answers there, such as a later
+        start of the engine. Silence proves nothing.
 
-        :param born: when it started, in ms since 1970; 0 where it is not known.
+        :param born: start of the process, in ms since 1970; 0 if unknown.
         """
         for seconds in TRY_TIMEOUTS:
             match await self._engines.read(target.address, seconds):
@@ -113,12 +121,12 @@
                     return bool(target.accelerator) and not has_reports
                 case EngineStatus(born=found):
                     return found > born > 0
-            # It may have cut its streams off and not closed its port yet.
+            # It may have closed its streams but not its port yet.
             await asyncio.sleep(seconds)
         return False
 
     def _is_explained(self, target: Target, began: float) -> bool:
-        """Tell whether two tries are enough to call an engine dead."""
+        """Return whether two tries are enough to consider an engine dead."""
         now = self._clock.monotonic()
         was_paused = now - began > sum(TRY_TIMEOUTS) + HOST_PAUSE_SECONDS
         cause = self.health.explain_silence(target.data_centre, began, now)
@@ -132,13 +140,17 @@
         if answer is not None:
             now = self._clock.monotonic()
             self.health.note_answer(target.data_centre, asked, now)
-        return _interpret_missing_report(target, answer) if isinstance(answer, EngineMute) else answer
+        return (
+            _interpret_missing_report(target, answer)
+            if isinstance(answer, EngineMute)
+            else answer
+        )
 
     def _probe_controls(self, target: Target, since: float) -> None:
-        """Find out whether this host gets any answers in time.
+        """Probe other engines to find out whether this host gets answers at all.
 
-        Asks one engine of the same data centre and one of another, those that have
-        shown themselves last.
+        Chooses one engine in the same data centre and one elsewhere, each the one with
+        the most recent event.
         """
         home = target.data_centre
         if self.health.has_answered(home, since):
@@ -151,7 +163,7 @@
                 self._start_control_probe(max(among, key=self._rank_by_last_event))
 
     def _list_control_candidates(self, target: Target) -> list[Target]:
-        """Return the other engines of which nothing bad is known."""
+        """Return the other engines that are not known to be dead."""
         suspects, now = self._directory.suspects, self._clock.monotonic()
         return [
             item
@@ -172,7 +184,7 @@
 
 
 class _ConcurrentTries(Generic[AnswerT]):
-    """Tries to get one answer; each goes on beside those that follow."""
+    """Tries for one answer; earlier ones keep running beside later ones."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Future[AnswerT | None]] = set()
@@ -180,9 +192,12 @@
     async def run(
         self, work: Coroutine[Any, Any, AnswerT | None], seconds: float
     ) -> AnswerT | None:
-        """Begin one more; return the answer of any that comes within some time.
+        """Start one more try and return the first answer of any, or ``None``.
+
+        Returns early if all tries have ended without an answer.
 
-        Returns at once where all have ended without one.
+        :param work: the try.
+        :param seconds: how long to wait for an answer.
         """
         self._tasks.add(asyncio.ensure_future(work))
         loop = asyncio.get_running_loop()
@@ -197,20 +212,23 @@
         return None
 
     def cancel_pending(self) -> None:
-        """Give up those that still wait."""
+        """Cancel the tries that are still running."""
         for task in self._tasks:
             task.cancel()
 
 
 def build_default_status(target: Target) -> EngineStatus:
-    """Return the status of a target that lives and of which no more is known."""
+    """Return the status to assume for a live target that sent no report."""
     return EngineStatus(target.layers, False, 0)
 
 
-def _interpret_missing_report(target: Target, answer: EngineMute) -> EngineStatus | EngineGone:
-    """Return what an answer that is no report says of a target.
+def _interpret_missing_report(
+    target: Target, answer: EngineMute
+) -> EngineStatus | EngineGone:
+    """Return what an answer without a report implies about a target.
 
-    Addresses are used again: a 404 for an ended engine had it taken for alive.
+    Addresses are reused: an engine whose address now answers with 404 has ended and
+    must not count as alive.
     """
     if target.accelerator and not answer.has_reports:
         return EngineGone()
