--- a/marigoldswitch/gateway/hosts.py
+++ b/marigoldswitch/gateway/hosts.py
@@ -1,4 +1,4 @@
-"""One gateway host: its listeners and its work, from start to planned stop."""
+"""Runs one gateway host: listeners and background tasks, from start to shutdown."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -29,35 +29,35 @@
 logger = structlog.get_logger(__name__)
 
 ACCEPT_BACKLOG = 1024
-"""Connections that may wait to be accepted: one that finds no place is tried again only
-seconds later."""
+"""Connections that may wait to be accepted; clients retry a rejected one only after
+seconds."""
 KEEPALIVE_MARGIN_SECONDS = 5.0
-"""Time that a connection is kept beyond the callers' longest idle time, so that no
-request meets its end."""
+"""Time for which a connection is kept open beyond the configured idle time, so that no
+request arrives while it is being closed."""
 MAX_HEAD_LINE_BYTES = 65_536
-"""Longest line of a request's head, above what any configuration allows."""
+"""Longest line of a request's head, above the limit of any configuration."""
 BALANCER_REMOVAL_SECONDS = 2.4
-"""Time from the signal to stop in which new requests are still taken: the balancer asks
-each second and takes a host out after two misses. What is taken later has no time to
-end: a stream lives up to 5 s, and the process is killed after 8 s."""
+"""Time after the stop signal for which new requests are still accepted. The load
+balancer probes every second and removes a host after two failures. Requests accepted
+later could not finish: a stream runs for up to 5 s, the process is killed after 8 s."""
 REROUTE_DELAYS = (0.8, 1.4, 2.0, 2.6, 3.2)
-"""When streams go round an engine after it was seen to leave: it serves for 2 s and at
-times a little longer. Many streams end before; those that find no way round at first
-look again."""
+"""Delays in seconds, after an engine starts to leave, at which streams are rerouted
+around it. It serves for 2 s, sometimes slightly longer. Many streams end before; those
+that find no other chain at first try again."""
 REROUTE_SPREAD_SECONDS = 0.6
-"""Seconds over which the streams of one host do so."""
+"""Seconds over which the rerouting of one host's streams is spread."""
 CLOSE_SECONDS = 0.4
-"""Part of the time to stop that is kept for closing what is left."""
+"""Part of the shutdown time that is reserved for closing what is left."""
 REGISTER_RETRY_SECONDS = 1.0
-"""Pause between two tries to write this host's row."""
+"""Pause between two tries to write this host's row or to list the others."""
 REREGISTER_SPREAD_SECONDS = 3.0
-"""Seconds over which the hosts write their rows again after the store has lost them, so
-that they don't all call it at its return."""
+"""Seconds over which hosts rewrite their rows after the store was restored, so that
+they don't all call it at once."""
 METRICS_PATH = "/metrics"
 
 
 class Closable(Protocol):
-    """What holds connections until it is closed."""
+    """An owner of connections that must be closed."""
 
     async def close(self) -> None:
         """Close all connections."""
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayParts:
-    """The parts of a host, as the composition root has wired them."""
+    """The components of a host, as wired by the composition root."""
 
     settings: HostSettings
     state: HostState
@@ -79,9 +79,9 @@
     orderer: LayerOrderer
     host_directory: HostDirectory
     sessions: tuple[Closable, ...]
-    """Connections of the host that are closed at its end."""
+    """Client sessions that are closed when the host stops."""
     reading: asyncio.Event
-    """Set while this host must follow the store by itself."""
+    """Set while this host must read the store itself."""
 
 
 class GatewayHost:
@@ -90,7 +90,7 @@
     def __init__(self, parts: GatewayParts) -> None:
         self.parts = parts
         self.settings = parts.settings
-        """Those in force now."""
+        """The settings in force."""
         identity = parts.settings.identity
         self._record = HostRecord(
             identity.host, identity.data_centre, identity.strength
@@ -105,11 +105,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send callers here."""
+        """Return whether the load balancer may send callers to this host."""
         return self.parts.runs.directory.is_complete and not self.parts.state.draining
 
     async def start(self) -> None:
-        """Open the listeners and begin the background work."""
+        """Open the listeners and start the background tasks."""
         parts, addresses = self.parts, self.parts.settings.addresses
         host, port = split_address(addresses.peers)
         await parts.network.start(host, port)
@@ -132,7 +132,7 @@
         )
 
     async def drain(self) -> None:
-        """Stop as planned: no request under way is cut off."""
+        """Prepare a planned stop: let running requests finish within the stop time."""
         parts = self.parts
         logger.info("host_draining", busy=parts.front.busy)
         parts.state.draining = True
@@ -149,7 +149,7 @@
             logger.warning("drain_cut_short", busy=parts.front.busy)
 
     def use_settings(self, new_settings: HostSettings) -> None:
-        """Put changed settings in force, as far as that needs no restart."""
+        """Apply the changed settings that don't need a restart."""
         old = self.settings
         needing_restart = [
             name
@@ -158,8 +158,12 @@
         ]
         if needing_restart:
             logger.warning("settings_need_restart", settings=needing_restart)
-        self.settings = replace(new_settings, identity=old.identity, addresses=old.addresses)
-        self.parts.runs.retries.use_terms(new_settings.retry_allowance, new_settings.retry_share)
+        self.settings = replace(
+            new_settings, identity=old.identity, addresses=old.addresses
+        )
+        self.parts.runs.retries.use_terms(
+            new_settings.retry_allowance, new_settings.retry_share
+        )
         waits = choose_waits(new_settings.touch_seconds, new_settings.leaving_seconds)
         self.parts.configuration.waits = self.parts.targets.waits = waits
         for seed in new_settings.seeds:
@@ -167,7 +171,7 @@
         logger.info("settings_in_force", changed=self.settings != old)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Cancel the background tasks and close all listeners and connections."""
         parts = self.parts
         for task in self._tasks:
             task.cancel()
@@ -183,9 +187,9 @@
         logger.info("host_stopped")
 
     def _close_idle(self) -> None:
-        """Close connections on which nothing runs, and the others after their answer.
+        """Close idle connections now and busy ones after their answer.
 
-        A request that still comes is refused as not run.
+        Requests that still arrive are refused as not run.
         """
         self.parts.state.accepting = False
         server = self._runners[0].server
@@ -193,7 +197,7 @@
             if self.parts.front.is_busy(connection):
                 connection.close()
             else:
-                # The server's own way leaves idle ones open and unread.
+                # close() would leave an idle connection open and unread.
                 connection.force_close()
 
     async def _listen(self, address: str, handler: Any) -> None:
@@ -218,11 +222,13 @@
         return max(idle, 15.0) + KEEPALIVE_MARGIN_SECONDS
 
     def _apply_limits(self, table: RoutingTable) -> None:
-        """Let new connections follow the limits of a configuration."""
+        """Apply the idle timeout of a configuration to new connections."""
         for runner in self._runners:
             if runner.server is not None:
-                # The server has no other way to change this for connections to come.
-                runner.server._kwargs["keepalive_timeout"] = self._get_keepalive_seconds()
+                # aiohttp offers no other way to change this for new connections.
+                runner.server._kwargs["keepalive_timeout"] = (
+                    self._get_keepalive_seconds()
+                )
 
     async def _answer_readiness(self, http: web.BaseRequest) -> web.StreamResponse:
         if http.path == METRICS_PATH:
@@ -240,7 +246,7 @@
             await asyncio.sleep(self.parts.spread.period)
 
     def _update_store_reading(self) -> None:
-        """Have the store read by this host, or no longer."""
+        """Start or stop reading the store, as the hosts' roster requires."""
         parts = self.parts
         directory = parts.runs.directory
         directory.registry.expire(parts.runs.clock.monotonic())
@@ -250,7 +256,7 @@
             parts.reading.clear()
 
     async def _register(self) -> None:
-        """Write this host's row and learn of the others, until that has worked."""
+        """Write this host's row and read those of the others, with retries."""
         parts = self.parts
         await self._write_row()
         while True:
@@ -266,14 +272,14 @@
         logger.info("hosts_met", hosts=len(parts.spread.roster.peers))
 
     async def _write_row(self) -> None:
-        """Write this host's row, however many tries that takes."""
+        """Write this host's row, retrying until it works."""
         while True:
             if (await self.parts.host_directory.enter(self._record)).is_ok():
                 return
             await asyncio.sleep(REGISTER_RETRY_SECONDS)
 
     def _handle_store_restored(self, restored: StoreRestored) -> None:
-        """Write this host's row again, as the store may have lost it."""
+        """Schedule a rewrite of this host's row, which the store may have lost."""
         self.parts.metrics.store_returns.inc({})
         delay = self.parts.runs.source.uniform(0.0, REREGISTER_SPREAD_SECONDS)
         self._spawn(self._register_again(delay))
@@ -286,18 +292,19 @@
     def _handle_target_change(self, change: Change, target: Target) -> None:
         loop = asyncio.get_running_loop()
         if change is Change.UPDATED:
-            self._schedule_reroutes(target.id)
+            self._schedule_chain_checks(target.id)
         if change is Change.ADDED:
-            # It has started again under its id: what passed through it is lost.
+            # A restarted engine keeps its id, but its streams are lost.
             self.parts.front.alarm_streams(target.id)
         if change in (Change.LEAVING, Change.GONE):
             for seconds in REROUTE_DELAYS:
-                loop.call_later(seconds, self._schedule_reroutes, target.id)
+                loop.call_later(seconds, self._schedule_chain_checks, target.id)
 
-    def _schedule_reroutes(self, target: TargetId) -> None:
-        """Have streams go round an engine, spread over a while.
+    def _schedule_chain_checks(self, target: TargetId) -> None:
+        """Have the streams through an engine check their chains, spread over some time.
 
-        Those that come in read whole prompts: together they would wait for each other.
+        A replacement engine reads the whole prompt of each stream that moves to it; all
+        at once they would delay each other.
         """
         loop = asyncio.get_running_loop()
         for run in self.parts.front.list_streams(target):
@@ -309,6 +316,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the IP number and the port of ``IP:port``."""
+    """Split ``IP:port`` into the IP address and the port number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/marigoldswitch/gateway/ports.py
+++ b/marigoldswitch/gateway/ports.py
@@ -1,6 +1,6 @@
-"""What the gateway needs of a platform, as types and interfaces.
+"""Interfaces and types that a platform adapter provides to the gateway.
 
-An adapter implements these; nothing here knows a name of the platform's protocol.
+They are independent of the names used by the platform's protocol.
 """
 
 from collections.abc import Sequence
@@ -21,16 +21,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A caller's request, decoded.
-
-    :param id: names this attempt of the caller; never used again.
-    :param path: path and query, as they came.
-    :param key: what the caller showed to say whose client account it is.
-    :param wait: seconds that the caller waits for the answer, if it said so.
-    :param last_event: id of the last event that the caller has of a stream.
-    :param prompt_tokens: tokens of the prompt; 0 where unknown.
-    :param answer_tokens: tokens of the answer, as far as can be told.
-    :param headers: those to pass on.
+    """A caller's decoded request.
+
+    :param id: unique id of this attempt of the caller; never reused.
+    :param path: path and query, as received.
+    :param key: API key that identifies the caller's client account, if given.
+    :param wait: seconds that the caller waits for the answer, if given.
+    :param last_event: id of the last stream event that the caller has received.
+    :param prompt_tokens: tokens of the prompt; 0 if unknown.
+    :param answer_tokens: estimated tokens of the answer.
+    :param headers: headers to forward.
     """
 
     id: RequestId
@@ -46,19 +46,19 @@
 
     @property
     def tokens(self) -> int:
-        """Return the context that the request is expected to reach."""
+        """Return the expected context length of the request, in tokens."""
         return self.prompt_tokens + self.answer_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class Sending:
-    """How a request is sent to a target.
+    """Parameters with which a request is forwarded to a target.
 
     :param left: seconds that the target may take.
-    :param account: client account of the caller, if it showed a key.
-    :param priority: rank of the request; 0 comes first.
-    :param chain: the engines it passes through, for a model request.
-    :param last_event: id of the last event received, to go on after it.
+    :param account: client account of the caller, if it gave a key.
+    :param priority: rank of the request; 0 is the highest.
+    :param chain: the engines that run a model request, in order.
+    :param last_event: id of the last event received, after which the stream resumes.
     """
 
     target: TargetId
@@ -71,15 +71,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyFacts:
-    """What the head of a target's answer says.
-
-    :param request: the request that it answers, if it names one.
-    :param not_run: the target promises that the request has not run.
-    :param wrong_target: another target has the address now.
-    :param is_signed: it bears the mark of a target's own answer.
-    :param is_encoded: its body is encoded, so that it is not the target's.
-    :param at_fault: ``IP:port`` of the engine of the chain that is to blame, if any.
-    :param load: what the target says of its load.
+    """Facts from the head of a target's answer.
+
+    :param request: id of the answered request, if given.
+    :param not_run: the target guarantees that the request has not run.
+    :param wrong_target: another target uses the address now.
+    :param is_signed: the answer carries the signature of a target.
+    :param is_encoded: the body is encoded, so the answer is not the target's own.
+    :param at_fault: ``IP:port`` of the engine of the chain that caused a failure.
+    :param load: load that the target reports, if any.
     """
 
     request: RequestId | None
@@ -92,12 +92,12 @@
 
 
 class CallCodec(Protocol):
-    """Translates heads of requests and answers."""
+    """Translates heads of requests and answers for the platform's protocol."""
 
     def read_call(
         self, method: str, path: str, headers: CIMultiDictProxy[str]
     ) -> Result[Call, str]:
-        """Return a caller's request, or what is wrong with it."""
+        """Decode a caller's request, or return what is wrong with it."""
         ...
 
     def write_headers(self, call: Call, sending: Sending) -> CIMultiDict[str]:
@@ -105,7 +105,7 @@
         ...
 
     def read_reply(self, status: int, headers: CIMultiDictProxy[str]) -> ReplyFacts:
-        """Return what the head of a target's answer says."""
+        """Decode the head of a target's answer."""
         ...
 
     def write_reply(self, headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
@@ -113,15 +113,19 @@
         ...
 
     def write_refusal(self, call: Call | None, wait: float | None) -> CIMultiDict[str]:
-        """Return the headers of an answer of our own."""
+        """Return the headers of an error answer that this host writes itself.
+
+        :param call: the refused request, if it could be decoded.
+        :param wait: seconds after which the caller may retry, if known.
+        """
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class StalledRequest:
-    """A request that an engine holds and that waits for another engine.
+    """A request on an engine that is blocked by another engine of its chain.
 
-    :param address: ``IP:port`` of that engine.
+    :param address: ``IP:port`` of the blocking engine.
     """
 
     request: RequestId
@@ -130,14 +134,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """What an engine says of itself, some hundred milliseconds late.
-
-    :param layers: those that it holds.
-    :param is_busy: it carries out an order.
-    :param sequence: orders that it has begun since it started.
-    :param slowness: its time for a step over the usual one.
-    :param stalled: requests that it received first and that wait for another engine.
-    :param born: when it started, in ms since 1970; 0 where it does not say.
+    """State that an engine reports, delayed by a few hundred milliseconds.
+
+    :param layers: the layers that it holds, if any.
+    :param is_busy: it is carrying out an order.
+    :param sequence: number of orders that it has begun since it started.
+    :param slowness: its step time relative to the usual one.
+    :param stalled: requests whose chain begins here and that wait for another engine.
+    :param born: when it started, in ms since 1970; 0 if not reported.
     """
 
     layers: LayerRange | None
@@ -149,23 +153,23 @@
 
 
 class OrderResult(Enum):
-    """How an engine took an order."""
+    """How an engine responded to an order."""
 
     BEGUN = "begun"
     DONE = "done"
     CONFLICT = "conflict"
-    """It does not fit the engine's state; nothing was done."""
+    """The order does not match the engine's state and had no effect."""
     ABSENT = "absent"
-    """The request that it concerns is not there."""
+    """The engine does not have the request that the order concerns."""
     UNKNOWN = "unknown"
-    """No answer: it may have been taken, or may be carried out later."""
+    """No usable answer: the order may have been accepted or may still take effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderReply:
     """The answer to an order.
 
-    :param at_fault: ``IP:port`` of the engine that stands in its way, if any.
+    :param at_fault: ``IP:port`` of the engine that prevents the order, if any.
     """
 
     result: OrderResult
@@ -174,14 +178,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineGone:
-    """Nothing listens at an engine's address any more: its process has ended."""
+    """Nothing listens at an engine's address any more; its process has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineMute:
-    """A target has answered, and not with a report: it lives, no more is known.
+    """A process has answered without a status report; nothing else is known of it.
 
-    :param has_reports: whether it knows the call; what does not is no engine.
+    :param has_reports: whether it supports reports; without them it is no engine.
     """
 
     has_reports: bool = True
@@ -191,33 +195,38 @@
 
 
 class EngineControl(Protocol):
-    """Reads engines and gives them orders."""
+    """Reads the status of engines and sends them orders."""
 
     async def read(self, address: str, timeout: float) -> EngineAnswer | None:
-        """Return what an engine says of itself, or ``None`` without an answer."""
+        """Return an engine's answer to a status request, or ``None`` if there is none.
+
+        :param address: ``IP:port`` of the engine.
+        :param timeout: in seconds.
+        """
         ...
 
     async def place(
         self, address: str, layers: LayerRange, sequence: int
     ) -> OrderReply:
-        """Order an engine to hold some layers.
+        """Order an engine to hold a range of layers.
 
-        :param sequence: orders that it must have begun before.
+        :param sequence: number of orders that it must have begun so far; otherwise it
+            rejects this one.
         """
         ...
 
     async def reroute(
         self, address: str, request: RequestId, chain: Sequence[Stage]
     ) -> OrderReply:
-        """Order the first engine of a request to go on over another chain."""
+        """Order the first engine of a request to continue it over another chain."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class StoredConfiguration:
-    """The newest configuration as the platform holds it.
+    """A configuration, decoded and as stored by the platform.
 
-    :param content: as it is stored, to be passed on to hosts that lack it.
+    :param content: the stored bytes, to be passed on to hosts that lack them.
     """
 
     table: RoutingTable
@@ -226,12 +235,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetChanges:
-    """Rows of targets.
+    """Changed rows of targets.
 
-    :param rows: those written.
-    :param removed: targets whose row is gone.
-    :param revision: version up to which this is complete.
-    :param is_whole: ``rows`` are all there are.
+    :param rows: rows that were written.
+    :param removed: targets whose rows were deleted.
+    :param revision: revision of the store up to which the changes are complete.
+    :param is_whole: ``rows`` is the complete list instead of changes.
     """
 
     rows: Sequence[TargetRow]
@@ -241,7 +250,7 @@
 
 
 class FeedFault(Enum):
-    """Why a feed brought nothing."""
+    """Why a read of a feed failed."""
 
     UNAVAILABLE = "unavailable"
     HISTORY_GONE = "history_gone"
@@ -249,54 +258,58 @@
 
 
 class PlatformFeeds(Protocol):
-    """The platform's news: the configuration and the targets."""
+    """Feeds of the platform's configuration and targets."""
 
     async def wait_configuration(
         self, revision: int, seconds: float
     ) -> Result[tuple[StoredConfiguration | None, int], FeedFault]:
-        """Return the configuration once it is newer than a revision, or after a time.
+        """Wait for a configuration newer than a revision.
 
-        :param revision: 0 to read it at once.
+        :param revision: last known revision; 0 to read the configuration at once.
+        :param seconds: longest time to wait.
+        :return: the configuration, or ``None`` if there is no newer one, and the
+            revision to wait from next.
         """
         ...
 
     async def wait_targets(
         self, revision: int, seconds: float
     ) -> Result[TargetChanges, FeedFault]:
-        """Return what has changed of the targets since a revision, or after a time.
+        """Wait for changes of the targets after a revision.
 
-        :param revision: 0 to read them all at once.
+        :param revision: last known revision; 0 to read all targets at once.
+        :param seconds: longest time to wait.
         """
         ...
 
     def decode_configuration(self, content: bytes) -> Result[StoredConfiguration, str]:
-        """Return a configuration that a peer has passed on."""
+        """Decode a configuration that a peer has passed on, or return what is wrong."""
         ...
 
 
 class VersionedTable(Protocol):
-    """Single rows of the table service, written under a condition."""
+    """Table service with conditional writes of single rows."""
 
     async def read(self, table: str, key: str) -> Result[Row | None, StoreFault]:
-        """Return one row, or ``None`` where there is none."""
+        """Return one row, or ``None`` if it does not exist."""
         ...
 
     async def write(
         self, table: str, key: str, value: bytes, expect: int
     ) -> Result[int, StoreFault]:
-        """Write a row that has a version still and return its new one.
+        """Write a row if its version is as expected; return its new version.
 
-        :param expect: 0 where the row must not exist.
+        :param expect: version that the row must have; 0 if it must not exist.
         """
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class HostRecord:
-    """A host of ours, as the others find it in the store.
+    """The row by which other hosts find a gateway host in the store.
 
     :param address: ``IP:port`` of its peer listener, which is also its id.
-    :param strength: of its link; 0 where it is not known.
+    :param strength: strength of its link; 0 if unknown.
     """
 
     address: str
@@ -305,7 +318,7 @@
 
 
 class HostDirectory(Protocol):
-    """The rows by which hosts find each other."""
+    """Rows of the store by which gateway hosts find each other."""
 
     async def enter(self, record: HostRecord) -> Result[None, StoreFault]:
         """Write this host's row."""
@@ -322,10 +335,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who this host is.
+    """Identity of this host.
 
-    :param host: address of its peer listener.
-    :param strength: of its link, as other hosts are told.
+    :param host: ``IP:port`` of its peer listener.
+    :param strength: strength of its link, as announced to other hosts.
     """
 
     host: str
@@ -337,7 +350,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Addresses:
-    """Where this host listens, as ``IP:port``."""
+    """Listening addresses of this host, as ``IP:port``."""
 
     callers: str
     readiness: str
@@ -347,18 +360,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """What one host is told by its platform.
+    """Settings of one host, as given by its platform.
 
-    :param seeds: peer listeners of some hosts; they may be old.
-    :param stop_seconds: from the signal to stop until the process is killed.
-    :param retry_allowance: repeats a second that all hosts together may always send to
+    :param seeds: peer listeners of some hosts; they may be out of date.
+    :param stop_seconds: time from the stop signal until the process is killed.
+    :param retry_allowance: retries a second that all hosts together may always send to
         a service.
-    :param retry_share: repeats that they may send beyond these, over requests.
-    :param link_bytes: bytes a second that its own link carries.
-    :param touch_seconds: without trouble after which what the store says must be in
-        force at a host in time.
-    :param leaving_seconds: from the store's word that a target leaves until no work may
-        reach it.
+    :param retry_share: further retries that they may send, as a share of requests.
+    :param link_bytes: capacity of this host's link, in bytes a second.
+    :param touch_seconds: time within which a change in the store must be in force at
+        each host, in the absence of failures.
+    :param leaving_seconds: time from the store's record that a target leaves until no
+        request may reach it.
     """
 
     identity: Identity
--- a/marigoldswitch/gateway/probing.py
+++ b/marigoldswitch/gateway/probing.py
@@ -80,7 +80,10 @@
         return self._last_event_at.get(target, float("-inf"))
 
     async def check(self, target: Target) -> EngineStatus | None:
-        """Return the status of an engine, or ``None`` and mark it dead."""
+        """Return the status of an engine, or ``None`` if it is dead.
+
+        A silent engine is marked dead unless the silence may be due to this host.
+        """
         now = self._clock.monotonic()
         if self._directory.suspects.is_dead(target.id, now):
             return None
@@ -175,7 +178,7 @@
         return status
 
     def check_later(self, target: Target) -> None:
-        """Probe an engine without waiting for the result, as when a peer suspects it."""
+        """Probe an engine that a peer reports as silent, without waiting for it."""
         if target.id not in self._background_checks:
             task = asyncio.ensure_future(self.check(target))
             self._background_checks[target.id] = task
--- a/marigoldswitch/gateway/questions.py
+++ b/marigoldswitch/gateway/questions.py
@@ -29,9 +29,10 @@
 """Tries that end this much later than they should were delayed by a pause of this host
 and say nothing about the engine."""
 LAST_TRY_TIMEOUT = 0.15
-"""Timeout of the third try, in seconds; made unless other engines in the data centre
-have answered. A relay's link of 20 Mbit/s takes 85 ms to pass on a new configuration.
-With the first two tries, a partitioned data centre is detected after 0.21 s."""
+"""Timeout of the third try, in seconds. It is made if no other engine in the data
+centre has answered or if this host was paused. A relay's link of 20 Mbit/s needs 85 ms
+to pass on a new configuration. With the first two tries, a partitioned data centre is
+detected after 0.21 s."""
 
 
 AnswerT = TypeVar("AnswerT")
@@ -140,11 +141,7 @@
         if answer is not None:
             now = self._clock.monotonic()
             self.health.note_answer(target.data_centre, asked, now)
-        return (
-            _interpret_missing_report(target, answer)
-            if isinstance(answer, EngineMute)
-            else answer
-        )
+        return _interpret(target, answer) if isinstance(answer, EngineMute) else answer
 
     def _probe_controls(self, target: Target, since: float) -> None:
         """Probe other engines to find out whether this host gets answers at all.
@@ -222,9 +219,7 @@
     return EngineStatus(target.layers, False, 0)
 
 
-def _interpret_missing_report(
-    target: Target, answer: EngineMute
-) -> EngineStatus | EngineGone:
+def _interpret(target: Target, answer: EngineMute) -> EngineStatus | EngineGone:
     """Return what an answer without a report implies about a target.
 
     Addresses are reused: an engine whose address now answers with 404 has ended and
