--- a/marigoldswitch/tests/order_runs.py
+++ b/marigoldswitch/tests/order_runs.py
@@ -1,7 +1,7 @@
-"""Long random runs of two holders of the orders' lease, as a command of its own.
+"""Runs long random tests of two competing lease holders from the command line.
 
-``python -m marigoldswitch.tests.order_runs 1000`` plays as many runs with engines that
-refuse old numbers and as many with engines that ignore them, in virtual time.
+``python -m marigoldswitch.tests.order_runs 1000`` plays 1000 runs with engines that
+reject old fencing numbers and 1000 with engines that ignore them, in virtual time.
 """
 
 import sys
@@ -15,7 +15,7 @@
 
 
 def play(machine, runs):
-    """Play runs of a machine; print how long all took to be right again."""
+    """Play runs of a state machine; print how long recovery took in virtual time."""
     healed, cut_off, fencing = [], [], []
 
     class Counted(machine):
--- a/marigoldswitch/tests/test_orderer.py
+++ b/marigoldswitch/tests/test_orderer.py
@@ -1,4 +1,4 @@
-"""The orderer gives layers to others when their holder is lost, and not before."""
+"""The orderer reassigns the layers of lost engines, but not of unreachable ones."""
 
 import asyncio
 from types import SimpleNamespace
@@ -43,7 +43,7 @@
 
 
 class Engines:
-    """Engines that begin each order and carry it out when told to."""
+    """Engines that accept each order and stay busy with it."""
 
     def __init__(self):
         self.orders = {}
@@ -61,7 +61,7 @@
 
 
 class Site:
-    """Two data centres with four engines each, and the host that orders them."""
+    """Two data centres with four engines each, and the host that sends them orders."""
 
     def __init__(self):
         self.now = 100.0
@@ -131,7 +131,7 @@
     return site
 
 
-def test_layers_of_a_dead_engine_go_to_another_before_its_entry_lapses(site):
+def test_layers_of_a_dead_engine_are_reassigned_before_its_row_expires(site):
     site.lose(1, 1)
     assert site.place() == {}
     site.now += REASSIGN_SECONDS
@@ -140,7 +140,7 @@
     assert next(iter(orders.values())).first == 0
 
 
-def test_data_centre_that_is_cut_off_is_left_as_it_is(site):
+def test_layout_of_a_partitioned_data_centre_is_not_changed(site):
     site.lose(1, 1)
     site.lose(1, 2)
     site.lose(1, 3)
@@ -148,7 +148,7 @@
     assert site.place() == {}
 
 
-def test_data_centre_whose_engines_are_coming_back_is_left_for_a_moment(site):
+def test_layout_is_not_changed_while_engines_return_after_a_partition(site):
     for number in (1, 2, 3, 4):
         site.directory.registry.remove(TargetId(f"1-{number}"), site.now)
     site.now += 1.0
@@ -161,7 +161,7 @@
     assert site.place() == {}
 
 
-def test_layers_that_an_engine_takes_long_to_load_are_given_to_another(site):
+def test_layers_that_load_slowly_are_assigned_to_another_engine(site):
     site.lose(1, 1)
     site.now += REASSIGN_SECONDS
     (first,) = site.place()
@@ -173,7 +173,7 @@
     assert {item.first for item in orders.values()} == {0}
 
 
-def test_deputy_orders_the_engines_of_its_own_data_centre_only(site):
+def test_deputy_sends_orders_only_to_engines_of_its_own_data_centre(site):
     site.orderer.lease = SimpleNamespace(
         holds=False, fencing=1, may_order=lambda now: False
     )
--- a/marigoldswitch/tests/test_planner.py
+++ b/marigoldswitch/tests/test_planner.py
@@ -1,10 +1,10 @@
-"""Chains begin at engines that have a slot for one more request.
+"""Chains begin only at engines with a free slot.
 
-On a day of releases one engine of a data centre held the first layers on the quickest
-accelerator and had memory left, so that chains went on beginning there: 120 streams for
-96 slots. What an engine has no slot for waits there unseen. 158 streams were given up
-after 0.7 s ("its engines live and bring nothing"), which takes one of the two targets
-that a stream may run on, and 378 of 2,065 requests of the data centre came late.
+Guards against overloading the first engine of chains. An engine with the first layers
+on the fastest accelerator and free memory kept attracting new chains: 120 streams for
+96 slots. Requests without a slot wait there unnoticed. 158 streams were given up after
+0.7 s ("its engines live and bring nothing"), which uses up one of the two targets that
+a stream may run on, and 378 of 2,065 requests of the data centre were late.
 """
 
 import random
@@ -27,7 +27,7 @@
 SLOTS = 96
 HOSTS = 6
 ARRIVALS = 6
-"""Requests of a data centre between two words of its hosts: 25 a second, 0.25 s."""
+"""Requests of a data centre between two load digests: 25 a second, every 0.25 s."""
 TOKENS = 400
 MODEL = ModelSpec(
     layers=8,
@@ -64,7 +64,7 @@
 
 
 class Centre:
-    """Hosts that choose chains by what they have last heard of each other."""
+    """Hosts that choose chains by the loads that they last told each other."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -82,7 +82,7 @@
             self.loads.append(loads)
 
     def tell(self):
-        """Have each host hear what the others hold."""
+        """Exchange the loads of all hosts."""
         for number, loads in enumerate(self.loads):
             loads.note_told()
             for other in self.loads:
@@ -90,7 +90,7 @@
                     other.hear(HostId(str(number)), HOME, dict(loads.own), 0.0)
 
     def choose(self, number):
-        """Have one host choose a chain and hold it."""
+        """Choose a chain at one host and count its load there."""
         planner = self.planners[number % HOSTS]
         chain = planner.find(self.service, TOKENS)
         if chain is not None:
@@ -98,7 +98,7 @@
         return chain
 
 
-def test_no_engine_is_the_first_of_more_streams_than_it_has_slots():
+def test_no_engine_begins_more_streams_than_it_has_slots():
     centre, firsts = Centre(), Counter()
     for number in range(160):
         if number % ARRIVALS == 0:
@@ -120,11 +120,11 @@
     assert choose_layers(LayerRange(0, 4), 10, SLOTS) == LayerRange(0, 4)
 
 
-def test_engine_that_tells_no_slots_is_not_bounded_by_them():
+def test_engine_without_a_known_slot_count_is_not_limited():
     assert choose_layers(LayerRange(0, 4), 1_000, 0) == LayerRange(0, 4)
 
 
-def test_engine_that_has_just_failed_a_request_is_not_its_last_resort():
+def test_failing_engine_is_not_reused_for_the_request_that_it_failed():
     centre = Centre()
     planner = centre.planners[0]
     suspects = planner._directory.suspects
--- a/marigoldswitch/tests/test_probing.py
+++ b/marigoldswitch/tests/test_probing.py
@@ -1,12 +1,11 @@
-"""Live engines are not taken for dead while this host's own link is full.
-
-A relay on a link of 20 Mbit/s passed a configuration on to 24 hosts in one go: 213 KB
-with the other news of that tenth of a second, so that for some 85 ms nothing else left
-the host. All probes sent meanwhile missed their 60 ms together, one to five engines at
-a time, each of which answered its next probe. Streams were taken from them, and those
-that had been moved once already were broken off. The log of such a host shows
-``report_missing`` for several engines within a millisecond, ``engine_silent`` 0.1 to
-0.25 s after a new configuration, and ``engine_back`` 0.7 s later.
+"""Live engines are not considered dead while this host's own link is congested.
+
+A relay on a link of 20 Mbit/s that passes a configuration on to 24 hosts sends 213 KB,
+which blocks its other traffic for 85 ms. All probes sent meanwhile miss their 60 ms.
+Live engines then lost their streams, and streams that had been moved before were broken
+off. The log of such a host shows ``report_missing`` for several engines within a
+millisecond, ``engine_silent`` 0.1 to 0.25 s after a new configuration, and
+``engine_back`` 0.7 s later.
 """
 
 import asyncio
@@ -23,26 +22,26 @@
 
 ANSWER_SECONDS = 0.005
 LAYERS = LayerRange(0, 4)
-FULL_SECONDS = 0.085
+CONGESTED_SECONDS = 0.085
 """213 KB at 20 Mbit/s."""
 
 
 class Engines:
-    """Engines in two data centres, as a host sees them over its link."""
+    """Engines in two data centres, as seen by a host over its link."""
 
     def __init__(self, clock):
         self.clock = clock
-        self.full_until = 0.0
-        self.gap = 0.0
-        """Seconds between two answers that the full link has held up."""
+        self.congested_until = 0.0
+        self.answer_gap = 0.0
+        """Seconds between two answers that the congested link has delayed."""
         self.silent = set()
         self.one_way = 0.0
-        """Seconds that each way takes over the link; a new connection goes it twice."""
-        self.known = set()
-        """Engines to which a connection is kept."""
+        """One-way delay in seconds; a new connection adds a round trip."""
+        self.connected = set()
+        """Engines with an open connection."""
         self.gone = set()
-        self.mute = set()
-        self.taken = set()
+        self.without_report = set()
+        self.reused = set()
         self.reads = []
         self.directory = Directory()
         for centre in ("near", "far"):
@@ -63,27 +62,29 @@
         self.directory.registry._rows[TargetId(name)] = row
 
     async def read(self, address, timeout):
-        """Answer as soon as the link has room, or never."""
+        """Answer as soon as the link has capacity, or never."""
         self.reads.append(address)
         if address in self.gone:
             return EngineGone()
-        if address in self.mute:
+        if address in self.without_report:
             return EngineMute()
-        if address in self.taken:
+        if address in self.reused:
             return EngineMute(has_reports=False)
-        queued = max(0.0, self.full_until - self.clock.monotonic())
+        queued = max(0.0, self.congested_until - self.clock.monotonic())
         place = sorted(self.directory.registry.rows).index(TargetId(address))
-        answered = queued + ANSWER_SECONDS + (place * self.gap if queued else 0.0)
-        answered += 2.0 * self.one_way * (1 if address in self.known else 2)
+        answered = (
+            queued + ANSWER_SECONDS + (place * self.answer_gap if queued else 0.0)
+        )
+        answered += 2.0 * self.one_way * (1 if address in self.connected else 2)
         if address in self.silent or answered > timeout:
             await asyncio.sleep(timeout)
-            self.known.discard(address)
+            self.connected.discard(address)
             return None
         await asyncio.sleep(answered)
         return EngineStatus(LAYERS, False, 0)
 
     async def check(self, *names):
-        """Check some engines together; return the seconds that it took."""
+        """Check engines concurrently; return the elapsed seconds."""
         began = self.clock.monotonic()
         rows = self.directory.registry.rows
         await asyncio.gather(*(self.probes.check(rows[name].target) for name in names))
@@ -94,10 +95,10 @@
 
 
 @pytest.mark.parametrize("names", [("near-0",), ("near-0", "near-1", "far-0")])
-def test_full_link_of_the_host_makes_no_engine_dead(names):
+def test_congested_link_makes_no_engine_dead(names):
     async def play(clock):
         engines = Engines(clock)
-        engines.full_until = FULL_SECONDS
+        engines.congested_until = CONGESTED_SECONDS
         await engines.check(*names)
         assert engines.list_dead() == []
 
@@ -105,11 +106,11 @@
 
 
 @pytest.mark.parametrize("burst", [0.02, 0.05, 0.1, 0.15])
-def test_link_that_fills_at_any_moment_of_a_probe_makes_no_engine_dead(burst):
+def test_congestion_at_any_moment_of_a_probe_makes_no_engine_dead(burst):
     async def play(clock):
         engines = Engines(clock)
         for _ in range(20):
-            engines.full_until = clock.monotonic() + burst
+            engines.congested_until = clock.monotonic() + burst
             await engines.check("near-0", "near-1", "far-0")
             await asyncio.sleep(0.013)
         assert engines.list_dead() == []
@@ -117,36 +118,36 @@
     run_virtually(play)
 
 
-def test_engines_whose_answers_come_one_after_the_other_are_not_dead():
-    """The link frees itself just before the second try ends, and not all get through.
+def test_engines_with_staggered_answers_are_not_dead():
+    """The link clears just before the second try ends, too late for some answers.
 
-    Eight engines were called silent in the same 0.3 ms, 61 ms after they were asked, as
-    a ninth had answered 1 ms before.
+    One engine's answer 1 ms before the timeout once made eight others count as silent
+    within 0.3 ms, 61 ms after they were probed.
     """
 
     async def play(clock):
         engines = Engines(clock)
-        engines.full_until = 0.0535
-        engines.gap = 0.0015
+        engines.congested_until = 0.0535
+        engines.answer_gap = 0.0015
         await engines.check("near-0", "near-1", "near-2", "near-3", "far-0", "far-1")
         assert engines.list_dead() == []
 
     run_virtually(play)
 
 
-def test_engines_that_must_be_connected_to_over_a_full_link_are_not_dead():
-    """A configuration of 69 KB from the store fills a link of 10 Mbit/s.
+def test_engines_that_need_a_new_connection_over_a_congested_link_are_not_dead():
+    """A configuration of 69 KB from the store congests a link of 10 Mbit/s.
 
-    A stream or two asked 17 engines at once. ``report_missing`` for all of them after
-    25 and 35 ms, each next try on a new connection; a control probe over a kept one was
-    answered after 77 ms, so that the silence was put down to the engines: 26 live ones
-    were called dead (``engine_silent``, took 0.21, cause target).
+    17 engines were probed at once. All tries failed after 25 and 35 ms
+    (``report_missing``), each next one on a new connection. A control probe over an
+    open connection was answered after 77 ms, so the silence was attributed to the
+    engines: 26 live ones were marked dead (``engine_silent``, took 0.21, cause target).
     """
 
     async def play(clock):
         engines = Engines(clock)
         engines.one_way = 0.038
-        engines.known.update(("near-3", "far-3"))
+        engines.connected.update(("near-3", "far-3"))
         for name in ("near-3", "far-3"):
             engines.probes.note_alive([name])
         await engines.check("near-0", "near-1", "near-2", "far-0", "far-1", "far-2")
@@ -155,10 +156,10 @@
     run_virtually(play)
 
 
-def test_engine_whose_answer_to_the_first_try_is_late_is_not_asked_for_nothing():
+def test_late_answer_to_the_first_try_is_still_used():
     async def play(clock):
         engines = Engines(clock)
-        engines.known.update(engines.directory.registry.rows)
+        engines.connected.update(engines.directory.registry.rows)
         engines.one_way = 0.018
         took = await engines.check("near-0")
         assert engines.list_dead() == []
@@ -167,7 +168,7 @@
     run_virtually(play)
 
 
-def test_engine_that_alone_is_silent_is_dead_as_soon_as_both_tries_are_over():
+def test_single_silent_engine_is_dead_after_two_tries():
     async def play(clock):
         engines = Engines(clock)
         engines.silent.add("near-0")
@@ -178,10 +179,10 @@
     run_virtually(play)
 
 
-def test_engine_that_dies_while_the_link_is_full_is_found_out():
+def test_engine_that_dies_while_the_link_is_congested_is_detected():
     async def play(clock):
         engines = Engines(clock)
-        engines.full_until = FULL_SECONDS
+        engines.congested_until = CONGESTED_SECONDS
         engines.silent.add("near-0")
         took = await engines.check("near-0", "near-1", "far-0")
         assert engines.list_dead() == ["near-0"]
@@ -190,7 +191,7 @@
     run_virtually(play)
 
 
-def test_engines_of_a_data_centre_that_is_cut_off_are_dead():
+def test_engines_of_a_partitioned_data_centre_are_dead():
     async def play(clock):
         engines = Engines(clock)
         engines.silent.update(f"far-{number}" for number in range(4))
@@ -201,7 +202,7 @@
     run_virtually(play)
 
 
-def test_silence_of_a_data_centre_is_found_out_with_that_of_its_first_engine():
+def test_silent_data_centre_is_detected_with_its_first_silent_engine():
     async def play(clock):
         engines = Engines(clock)
         engines.silent.update(f"far-{number}" for number in range(4))
@@ -214,20 +215,20 @@
     run_virtually(play)
 
 
-def test_host_that_nobody_answers_calls_no_engine_dead():
+def test_host_without_any_answers_marks_no_engine_dead():
     async def play(clock):
         engines = Engines(clock)
-        engines.full_until = 60.0
+        engines.congested_until = 60.0
         await engines.check("near-0", "near-1", "far-0")
         assert engines.list_dead() == []
 
     run_virtually(play)
 
 
-def test_engine_whose_port_is_closed_is_dead_at_once_whatever_else_is_known():
+def test_engine_with_a_closed_port_is_dead_at_once():
     async def play(clock):
         engines = Engines(clock)
-        engines.full_until = FULL_SECONDS
+        engines.congested_until = CONGESTED_SECONDS
         engines.gone.add("near-0")
         took = await engines.check("near-0")
         assert engines.list_dead() == ["near-0"]
@@ -236,16 +237,16 @@
     run_virtually(play)
 
 
-def test_target_that_answers_with_anything_is_not_dead():
-    """An engine whose reports are refused, or a plain service, which has none.
+def test_target_that_answers_without_a_report_is_not_dead():
+    """The target refuses reports, or is a plain service, which has none.
 
-    A peer that says that it can't reach a plain service has the others ask it for a
-    report; they took its 404 for silence and left it out for a second.
+    Peers that are told that a plain service is unreachable ask it for a report. They
+    mistook its 404 for silence and excluded it for a second.
     """
 
     async def play(clock):
         engines = Engines(clock)
-        engines.mute.add("near-0")
+        engines.without_report.add("near-0")
         took = await engines.check("near-0")
         assert engines.list_dead() == []
         assert took == 0.0
@@ -254,15 +255,15 @@
     run_virtually(play)
 
 
-def test_engine_whose_address_another_service_has_now_is_dead_and_stays_so():
-    """Its port was used again by a process without reports, whose 404 looked alive.
+def test_engine_whose_address_was_reused_stays_dead():
+    """A process without reports reuses the port; its 404 looked like a live engine.
 
-    Seen as ``report_refused`` at 404 and ``engine_back`` for an engine that had ended.
+    The log shows ``report_refused`` at 404 and ``engine_back`` for an ended engine.
     """
 
     async def play(clock):
         engines = Engines(clock)
-        engines.taken.add("near-0")
+        engines.reused.add("near-0")
         await engines.check("near-0")
         assert engines.list_dead() == ["near-0"]
         await play_rechecks(engines, 2.0)
@@ -271,7 +272,7 @@
     run_virtually(play)
 
 
-def test_silent_engines_share_the_probes_that_tell_of_the_host():
+def test_silent_engines_share_control_probes():
     async def play(clock):
         engines = Engines(clock)
         engines.silent.update(("near-0", "near-1"))
@@ -283,26 +284,25 @@
 
 
 CONTROL_SHARE = 0.012
-"""Of a core that a host may spend on control at the size to design for."""
+"""Share of a core that a host may spend on control at the design size."""
 PROBE_CORE_SECONDS = 0.0004
-"""Of a probe: 0.38 ms, the mean of 1,365 in a host that ran under a profiler."""
+"""Processor time of a probe: 0.38 ms on average over 1,365 profiled probes."""
 PROBE_SHARE = 0.25
-"""Part of control that looking at dead engines may take."""
+"""Share of the control budget that probes of dead engines may take."""
 
 
 async def play_rechecks(engines, seconds):
-    """Look at dead engines for a while, as a host does in each of its ticks."""
+    """Recheck dead engines for some time, as a host does in each of its ticks."""
     for _ in range(round(seconds / 0.2)):
         engines.probes.recheck_dead()
         await asyncio.sleep(0.2)
 
 
-def test_cut_off_data_centre_costs_few_probes_and_is_back_at_once():
-    """Another data centre of 86 engines is cut off for five seconds.
+def test_partitioned_data_centre_costs_few_probes_and_recovers_at_once():
+    """Another data centre of 86 engines is partitioned for five seconds.
 
-    Each host looked at each of its engines every 0.6 s, twice: 290 probes a second. In
-    the cut of a day that took over 604 s of processor time to play, each host called
-    engines silent 50 times a second (``engine_silent``), 14 % of all that it logged.
+    Without shared probes, each host probed each of these engines twice every 0.6 s, 290
+    probes a second, and logged ``engine_silent`` 50 times a second, 14 % of its log.
     """
 
     async def play(clock):
@@ -317,7 +317,7 @@
         bound = PROBE_SHARE * CONTROL_SHARE / PROBE_CORE_SECONDS
         assert len(engines.reads) / 5.0 <= bound
         assert engines.list_dead() == sorted(far)
-        # One that has crashed meanwhile does not keep the others out.
+        # An engine that crashed meanwhile does not keep the others excluded.
         engines.silent = {"far-0"}
         await play_rechecks(engines, 2.0)
         assert engines.list_dead() == ["far-0"]
@@ -325,7 +325,7 @@
     run_virtually(play)
 
 
-def test_dead_engine_among_living_ones_is_looked_at_by_itself():
+def test_dead_engine_among_live_ones_is_probed_individually():
     async def play(clock):
         engines = Engines(clock)
         engines.silent.update(("near-0", "near-1"))
