--- a/marigoldswitch/gateway/ports.py
+++ b/marigoldswitch/gateway/ports.py
@@ -76,7 +76,7 @@
     :param request: id of the answered request, if given.
     :param not_run: the target guarantees that the request has not run.
     :param wrong_target: another target uses the address now.
-    :param is_signed: the answer carries the signature of a target.
+    :param is_signed: the answer carries the signature header of a target's own answers.
     :param is_encoded: the body is encoded, so the answer is not the target's own.
     :param at_fault: ``IP:port`` of the engine of the chain that caused a failure.
     :param load: load that the target reports, if any.
@@ -368,8 +368,8 @@
         a service.
     :param retry_share: further retries that they may send, as a share of requests.
     :param link_bytes: capacity of this host's link, in bytes a second.
-    :param touch_seconds: time within which a change in the store must be in force at
-        each host, in the absence of failures.
+    :param touch_seconds: time without failures after which a host must have applied
+        what the store holds.
     :param leaving_seconds: time from the store's record that a target leaves until no
         request may reach it.
     """
--- a/marigoldswitch/tests/test_probing.py
+++ b/marigoldswitch/tests/test_probing.py
@@ -121,8 +121,8 @@
 def test_engines_with_staggered_answers_are_not_dead():
     """The link clears just before the second try ends, too late for some answers.
 
-    One engine's answer 1 ms before the timeout once made eight others count as silent
-    within 0.3 ms, 61 ms after they were probed.
+    Eight engines were marked dead within 0.3 ms, 61 ms after they were probed, because
+    a ninth had answered 1 ms before.
     """
 
     async def play(clock):
