--- a/marigoldswitch/gateway/planner.py
+++ b/marigoldswitch/gateway/planner.py
@@ -1,4 +1,4 @@
-"""Finds chains of engines for requests, with what this host knows of their loads."""
+"""Chooses chains of engines for requests by the engine loads known to this host."""
 
 import random
 from collections.abc import Callable, Collection, Sequence
@@ -26,14 +26,18 @@
 )
 from marigoldswitch.gateway.directory import Directory
 
-LEAVING_SECONDS = 0.8
-"""Time for which an engine that leaves may still get work where a data centre has no
-chain without it: it serves for 2 s after the store knows that it leaves, which this
-host learns up to half a second later, and a new holder of its layers needs 1.5 s."""
+LEAVING_USE_SECONDS = 0.8
+"""Time for which a leaving engine may still get requests if its data centre has no
+chain without it. It serves for 2 s after the store records that it leaves, which this
+host learns up to half a second later; a new holder of its layers needs 1.5 s."""
 
 
 class ChainPlanner:
-    """Chooses chains and counts what they hold."""
+    """Chooses chains and tracks the load that their requests put on engines.
+
+    :param home: data centre of this host.
+    :param source: random numbers for choosing among chains of similar cost.
+    """
 
     def __init__(
         self,
@@ -44,17 +48,17 @@
         source: random.Random,
     ) -> None:
         self.slowness: dict[TargetId, float] = {}
-        """Time for a step over the usual one, of engines that are known to be slow."""
+        """Step time relative to the usual one, for engines known to be slow."""
         self._directory = directory
         self._loads = loads
         self._clock = clock
         self._home = home
         self._source = source
-        self._crossings = CrossingBudget()
+        self._crossing_budget = CrossingBudget()
         self.count_hosts: Callable[[], int] = lambda: 1
-        """Live hosts, this one among them."""
+        """Returns the number of live hosts, including this one."""
         self.count_near: Callable[[], int] = lambda: 1
-        """Those of this data centre."""
+        """Returns the number of live hosts in this data centre, including this one."""
 
     def find(
         self,
@@ -63,10 +67,14 @@
         avoid: frozenset[TargetId] = frozenset(),
         is_new: bool = True,
     ) -> Chain | None:
-        """Return the chain for a request, or ``None`` where there is no room.
+        """Return a chain for a request, or ``None`` if there is no capacity.
+
+        Prefers a chain inside this data centre, if necessary over engines that are
+        leaving or have failed a request, to one that crosses data centres.
 
-        :param avoid: targets that have just failed it.
-        :param is_new: its caller has no part of an answer yet.
+        :param tokens: context tokens to reserve memory for.
+        :param avoid: targets that have just failed this request.
+        :param is_new: whether the caller has received no part of the answer yet.
         """
         model = service.model
         if model is None:
@@ -77,8 +85,8 @@
         near = find_near_chain(offers, model.layers, self._home, self._source, jitter)
         if near is not None:
             return near
-        for list_more in (self._list_leaving, self._list_failing):
-            more = list_more(service, model, tokens)
+        for list_fallback in (self._list_leaving, self._list_failing):
+            more = list_fallback(service, model, tokens)
             more = [item for item in more if item.target not in avoid]
             if not more:
                 continue
@@ -89,15 +97,19 @@
         wide = find_chain(offers, LayerRange(0, model.layers), self._source)
         if wide is None:
             return None
-        seconds = _measure_crossings(wide.crossings, model, tokens)
+        seconds = _estimate_crossing_seconds(wide.crossings, model, tokens)
         hosts, now = self.count_hosts(), self._clock.monotonic()
-        return wide if self._crossings.has_room(seconds, hosts, now, is_new) else None
+        return (
+            wide
+            if self._crossing_budget.has_room(seconds, hosts, now, is_new)
+            else None
+        )
 
     def take(self, service: ServiceSpec, chain: Chain, tokens: int) -> None:
-        """Count a request on a chain that was found for it."""
+        """Record that a request uses a chain, with its data centre crossings."""
         if service.model is not None:
-            seconds = _measure_crossings(chain.crossings, service.model, tokens)
-            self._crossings.spend(seconds)
+            seconds = _estimate_crossing_seconds(chain.crossings, service.model, tokens)
+            self._crossing_budget.spend(seconds)
         self.hold(chain.stages, tokens)
 
     def find_detour(
@@ -107,12 +119,15 @@
         stages: Sequence[Stage],
         lost: Collection[TargetId],
     ) -> Chain | None:
-        """Return a chain round some engines for a request under way.
+        """Return a chain without some engines for a running request, if there is one.
 
-        Its first stage stays. The others stay as well if there is a way; else they are
-        sought anew, inside the data centre of the first and then beyond it.
+        The first stage is kept. So are the other stages that are not lost, if possible;
+        otherwise all of them are replaced. Each is tried inside the data centre of the
+        first stage, then across data centres.
 
-        :param lost: engines to do without.
+        :param tokens: context tokens to reserve memory for.
+        :param stages: the current chain.
+        :param lost: engines to exclude.
         """
         model = service.model
         if model is None:
@@ -122,21 +137,21 @@
         offers = self._list_offers(service, model, tokens)
         near = [item for item in offers if item.data_centre == home]
         rest = {item.target for item in stages[1:]}
-        ways = ((lost, near), (lost, offers), (rest, near), (rest, offers))
-        old = count_crossings([centres[item.target] for item in stages])
-        for without, among in ways:
-            chain = mend_chain(stages, without, among, centres, self._source)
+        attempts = ((lost, near), (lost, offers), (rest, near), (rest, offers))
+        old_crossings = count_crossings([centres[item.target] for item in stages])
+        for excluded, candidates in attempts:
+            chain = mend_chain(stages, excluded, candidates, centres, self._source)
             if chain is None:
                 continue
-            added = max(0, chain.crossings - old)
-            seconds = _measure_crossings(added, model, tokens)
+            added_crossings = max(0, chain.crossings - old_crossings)
+            seconds = _estimate_crossing_seconds(added_crossings, model, tokens)
             now = self._clock.monotonic()
-            if self._crossings.take(seconds, self.count_hosts(), now):
+            if self._crossing_budget.take(seconds, self.count_hosts(), now):
                 return chain
         return None
 
     def _list_centres(self, stages: Sequence[Stage]) -> dict[TargetId, DataCentre]:
-        """Return where the engines of a chain are; one that is gone counts as here."""
+        """Return the data centre of each engine; unknown engines count as local."""
         rows = self._directory.registry.rows
         return {
             item.target: rows[item.target].target.data_centre
@@ -146,30 +161,30 @@
         }
 
     def describe_shortage(self, service: ServiceSpec, tokens: int) -> dict[str, object]:
-        """Return why there is no chain, for the log: layers, memory or crossings."""
+        """Return log fields that tell whether layers, memory or crossings are short."""
         if service.model is None:
             return {}
         offers = self._list_offers(service, service.model, tokens)
         ranges = [item.layers for item in offers]
-        free = [item.layers for item in offers if item.has_room()]
+        ranges_with_room = [item.layers for item in offers if item.has_room()]
         layers = service.model.layers
         return {
             "engines": len(offers),
             "covered": has_chain(ranges, layers),
-            "covered_with_room": has_chain(free, layers),
-            "with_room": len(free),
-            "crossing_seconds_left": round(self._crossings.level, 3),
+            "covered_with_room": has_chain(ranges_with_room, layers),
+            "with_room": len(ranges_with_room),
+            "crossing_seconds_left": round(self._crossing_budget.level, 3),
         }
 
     def hold(self, stages: Sequence[Stage], tokens: int) -> None:
-        """Count a request at the stages of its chain."""
+        """Add a request to the load of its chain's engines."""
         for item in stages:
-            self._loads.hold(item.target, _measure_usage(item, tokens))
+            self._loads.hold(item.target, _build_usage(item, tokens))
 
     def release(self, stages: Sequence[Stage], tokens: int) -> None:
-        """Count a request as ended."""
+        """Remove an ended request from the load of its chain's engines."""
         for item in stages:
-            self._loads.release(item.target, _measure_usage(item, tokens))
+            self._loads.release(item.target, _build_usage(item, tokens))
 
     def _list_offers(
         self, service: ServiceSpec, model: ModelSpec, tokens: int
@@ -181,27 +196,28 @@
             for target in self._directory.registry.list_targets(service.name)
             if not suspects.is_out(target.id, now)
         ]
-        return self._offer_all(targets, model, tokens)
+        return self._build_offers(targets, model, tokens)
 
     def _list_leaving(
         self, service: ServiceSpec, model: ModelSpec, tokens: int
     ) -> list[StageOffer]:
-        """Return what engines offer that have just begun to leave."""
+        """Return the offers of engines that have just begun to leave."""
         now = self._clock.monotonic()
         registry, suspects = self._directory.registry, self._directory.suspects
         targets = [
             target
-            for target in registry.list_leaving(service.name, now - LEAVING_SECONDS)
+            for target in registry.list_leaving(service.name, now - LEAVING_USE_SECONDS)
             if not suspects.is_out(target.id, now)
         ]
-        return self._offer_all(targets, model, tokens)
+        return self._build_offers(targets, model, tokens)
 
     def _list_failing(
         self, service: ServiceSpec, model: ModelSpec, tokens: int
     ) -> list[StageOffer]:
-        """Return what engines offer that have lost a request: better than nothing.
+        """Return the offers of engines that are excluded for losing a request.
 
-        Where a host's connections are all reset, no other engines may be left.
+        They are a last resort: if all connections of a host are reset, no other engines
+        may be left.
         """
         now = self._clock.monotonic()
         suspects = self._directory.suspects
@@ -210,28 +226,29 @@
             for target in self._directory.registry.list_targets(service.name)
             if suspects.is_failing(target.id, now)
         ]
-        return self._offer_all(targets, model, tokens)
+        return self._build_offers(targets, model, tokens)
 
-    def _offer_all(
+    def _build_offers(
         self, targets: Sequence[Target], model: ModelSpec, tokens: int
     ) -> list[StageOffer]:
         peers = self.count_near() - 1
-        offers = (self._offer(target, model, tokens, peers) for target in targets)
+        offers = (self._build_offer(target, model, tokens, peers) for target in targets)
         return [item for item in offers if item is not None]
 
-    def _offer(
+    def _build_offer(
         self, target: Target, model: ModelSpec, tokens: int, peers: int
     ) -> StageOffer | None:
-        """Return what an engine offers, or ``None`` where it can take nothing.
+        """Return an engine's offer, or ``None`` if it can run no part of a request.
 
-        :param peers: other hosts of this data centre, which choose as this one does.
+        :param peers: number of other hosts in this data centre, which are expected to
+            choose engines as this host does.
         """
         accelerator = model.accelerators.get(target.accelerator)
         layers = target.layers
         if accelerator is None or layers is None:
             return None
-        room = model.measure_memory(accelerator, layers)
-        if room <= 0.0:
+        capacity = model.measure_memory(accelerator, layers)
+        if capacity <= 0.0:
             return None
         usage = self._loads.get(target.id)
         offered = choose_layers(layers, usage.begun, target.slots)
@@ -245,18 +262,18 @@
             target.data_centre,
             offered,
             seconds * self.slowness.get(target.id, 1.0),
-            usage.memory / room,
-            tokens / room,
-            self._loads.count_fresh(target.id) * peers / room,
+            usage.memory / capacity,
+            tokens / capacity,
+            self._loads.count_fresh(target.id) * peers / capacity,
         )
 
 
-def _measure_crossings(crossings: int, model: ModelSpec, tokens: int) -> float:
-    """Return the seconds that a prompt keeps the pipe between data centres busy."""
+def _estimate_crossing_seconds(crossings: int, model: ModelSpec, tokens: int) -> float:
+    """Return the seconds for which a prompt occupies the link between data centres."""
     return crossings * tokens * model.crossing_seconds
 
 
-def _measure_usage(stage: Stage, tokens: int) -> Usage:
-    """Return what a request takes of an engine that runs a part of its layers."""
+def _build_usage(stage: Stage, tokens: int) -> Usage:
+    """Return the usage that a request adds to the engine that runs a stage."""
     memory = tokens * (stage.layers.end - stage.layers.first)
     return Usage(1, memory, begun=int(stage.layers.first == 0))
