--- a/marigoldswitch/platform/compose.py
+++ b/marigoldswitch/platform/compose.py
@@ -41,8 +41,8 @@
 from marigoldswitch.wire import MessageCodec
 
 PEER_SECRET = "marigoldswitch"
-"""Keeps messages of other programs out; the platform's network keeps out the rest, and
-gives hosts no secret to share."""
+"""Shared by all hosts to reject messages of unrelated programs. It is no real secret:
+the platform gives hosts none to share, and its network keeps everyone else out."""
 
 
 def compose_gateway(
@@ -51,7 +51,12 @@
     clock: Clock | None = None,
     source: random.Random | None = None,
 ) -> GatewayHost:
-    """Wire one host; it must be called with a loop running."""
+    """Build one host from its parts. Needs a running event loop.
+
+    :param store_address: ``IP:port`` of the platform's store.
+    :param clock: by default :class:`BootClock`.
+    :param source: random numbers; by default seeded by the system.
+    """
     clock = clock or BootClock()
     source = source or random.Random()
     identity = settings.identity
--- a/marigoldswitch/platform/configuration.py
+++ b/marigoldswitch/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the targets' rows, decoded into product types."""
+"""Decodes the operator's configuration and the targets' rows into product types."""
 
 import ipaddress
 from typing import Any
@@ -20,25 +20,27 @@
     WeightedService,
 )
 from marigoldswitch.gateway.ports import StoredConfiguration
-from marigoldswitch.platform.headers import MILLISECONDS
-
-THOUSAND = 1000.0
-MEGABYTE = 1e6
-BITS = 8
-LEAST_PATIENCE_SECONDS = 2.0
-PATIENCE_LATENCIES = 4.0
-PATIENCE_GAPS = 8.0
-"""Callers leave a stream after the longest of 2 s, this many latency targets and this
-many of the longest gaps that their route allows."""
+from marigoldswitch.platform.headers import MILLISECONDS_PER_SECOND
+
+TOKENS_PER_K = 1000.0
+MEGA = 1e6
+"""Bytes in a megabyte, bits in a megabit."""
+BITS_PER_BYTE = 8
+MIN_CALLER_PATIENCE_SECONDS = 2.0
+PATIENCE_PER_LATENCY_TARGET = 4.0
+PATIENCE_PER_LONGEST_GAP = 8.0
+"""Callers abandon a stream whose silence exceeds the largest of three times: the
+minimum, this multiple of the route's latency target, and this multiple of the longest
+gap that the route allows."""
 
 ROUTE_KINDS = {
     "safe": RouteKind.IDEMPOTENT,
     "unsafe": RouteKind.NON_IDEMPOTENT,
     "stream": RouteKind.STREAM,
 }
-LEAVING = "draining"
-PHASES = frozenset({"ready", LEAVING})
-ROW_FIELDS: dict[str, tuple[type, ...]] = {
+DRAINING_PHASE = "draining"
+PHASES = frozenset({"ready", DRAINING_PHASE})
+REQUIRED_ROW_FIELDS: dict[str, tuple[type, ...]] = {
     "service": (str,),
     "address": (str,),
     "zone": (str,),
@@ -46,26 +48,27 @@
     "slots": (int,),
     "phase": (str,),
     "cold_remaining_ms": (int, float),
-    # How often its owner has written the row; elsewhere a count of orders.
+    # Times that the target has written its row; in reports the same key counts orders.
     "sequence": (int,),
 }
-"""Fields that each row of a target has, and their types."""
-MOST_PORT = 65_535
+"""Fields that a target's row must have, with the types that each may have."""
+MAX_PORT = 65_535
 
 
 def decode_configuration(content: bytes) -> Result[StoredConfiguration, str]:
-    """Return the configuration that some bytes hold, or what is wrong with them."""
+    """Decode a configuration, or return what is wrong with it."""
     try:
         document = orjson.loads(content)
-        return Ok(StoredConfiguration(_read_table(document), content))
+        return Ok(StoredConfiguration(_read_routing_table(document), content))
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         return Err(f"{type(error).__name__}: {error}")
 
 
 def decode_target(key: str, content: bytes, revision: int) -> Result[TargetRow, str]:
-    """Return the target that a row holds.
+    """Decode a target's row, or return what is wrong with it.
 
-    :param key: the target's id, which stands nowhere else.
+    :param key: the row's key, which is the target's id; the value does not repeat it.
+    :param revision: the row's revision.
     """
     try:
         row = orjson.loads(content)
@@ -75,20 +78,20 @@
 
 
 def _read_target(key: str, row: Any, revision: int) -> TargetRow:
-    """Return the target that a row names.
+    """Check a row's fields and return its target.
 
-    :raises ValueError: if it is not a row of a target: others may write there as well.
+    :raises ValueError: if the row is invalid, as other programs may write rows too.
     """
     if not isinstance(row, dict):
-        raise ValueError("not a table")
-    for name, kinds in ROW_FIELDS.items():
-        if type(row.get(name)) not in kinds:
+        raise ValueError("not a JSON object")
+    for name, types in REQUIRED_ROW_FIELDS.items():
+        if type(row.get(name)) not in types:
             raise ValueError(f"{name} is {row.get(name)!r}")
     if row["phase"] not in PHASES:
         raise ValueError(f"phase is {row['phase']!r}")
     address = row["address"]
     _check_address(address)
-    # The kind of accelerator; for routes the same name says what may be repeated.
+    # The accelerator's kind here; in a route the same key says what may be repeated.
     accelerator = row.get("route_type", "")
     if type(accelerator) is not str:
         raise ValueError(f"route_type is {accelerator!r}")
@@ -101,29 +104,38 @@
         read_layers(row.get("layers")),
         accelerator,
     )
-    return TargetRow(target, row["phase"] == LEAVING, revision, read_born(row))
+    return TargetRow(
+        target, row["phase"] == DRAINING_PHASE, revision, read_start_time(row)
+    )
 
 
 def _check_address(address: str) -> None:
+    """Check that an address is ``IPv4:port``.
+
+    :raises ValueError: if it is not.
+    """
     host, _, port = address.rpartition(":")
     ipaddress.IPv4Address(host)
-    if not (port.isascii() and port.isdecimal()) or not 0 < int(port) <= MOST_PORT:
+    if not (port.isascii() and port.isdecimal()) or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"address is {address!r}")
 
 
-def read_born(fields: dict[str, Any]) -> int:
-    """Return when a target started, in ms since 1970; 0 where it does not say.
+def read_start_time(fields: dict[str, Any]) -> int:
+    """Return when a target started, in Unix milliseconds; 0 if it is not stated.
 
-    :raises ValueError: if it is no whole number.
+    :raises ValueError: if it is not a whole number of at least 0.
     """
-    born = fields.get("born", 0)
-    if type(born) is not int or born < 0:
-        raise ValueError(f"born is {born!r}")
-    return born
+    started_ms = fields.get("born", 0)
+    if type(started_ms) is not int or started_ms < 0:
+        raise ValueError(f"born is {started_ms!r}")
+    return started_ms
 
 
 def read_layers(layers: Any) -> LayerRange | None:
-    """Return a range of layers; ``target`` is the layer after the last."""
+    """Decode a layer range; its key ``target`` is the layer after the last.
+
+    :return: ``None`` for a missing or empty range.
+    """
     if layers is None:
         return None
     first, end = layers["from"], layers["target"]
@@ -132,7 +144,7 @@
     return LayerRange(first, end) if end > first else None
 
 
-def _read_table(document: dict[str, Any]) -> RoutingTable:
+def _read_routing_table(document: dict[str, Any]) -> RoutingTable:
     return RoutingTable(
         int(document["version"]),
         tuple(_read_route(item) for item in document["routes"]),
@@ -146,53 +158,58 @@
 
 
 def _read_route(item: dict[str, Any]) -> Route:
-    longest_gap = float(item.get("target_gap_ms") or 0.0) / MILLISECONDS
-    latency_target = float(item.get("target_latency_ms") or 500.0) / MILLISECONDS
+    longest_gap = float(item.get("target_gap_ms") or 0.0) / MILLISECONDS_PER_SECOND
+    latency_target = (
+        float(item.get("target_latency_ms") or 500.0) / MILLISECONDS_PER_SECOND
+    )
     return Route(
         str(item.get("name", "")),
         str(item["host"]),
         str(item["prefix"]),
         ROUTE_KINDS[item["route_type"]],
-        float(item["timeout_ms"]) / MILLISECONDS,
+        float(item["timeout_ms"]) / MILLISECONDS_PER_SECOND,
         int(item.get("priority", 0)),
-        _read_services(item),
+        _read_backends(item),
         max(1, int(item.get("max_attempts", 1))),
         bool(item.get("public", False)),
         bool(item.get("resumable", False)),
         longest_gap,
         latency_target,
-        _find_patience(latency_target, longest_gap),
+        _derive_caller_patience(latency_target, longest_gap),
     )
 
 
-def _find_patience(latency_target: float, longest_gap: float) -> float:
-    """Return the silence after which callers leave a stream, in seconds."""
+def _derive_caller_patience(latency_target: float, longest_gap: float) -> float:
+    """Return the silence after which callers abandon a stream, in seconds."""
     return max(
-        LEAST_PATIENCE_SECONDS,
-        PATIENCE_LATENCIES * latency_target,
-        PATIENCE_GAPS * longest_gap,
+        MIN_CALLER_PATIENCE_SECONDS,
+        PATIENCE_PER_LATENCY_TARGET * latency_target,
+        PATIENCE_PER_LONGEST_GAP * longest_gap,
     )
 
 
-def _read_services(item: dict[str, Any]) -> tuple[WeightedService, ...]:
-    """Return who answers a route: one service, or several that share it by weight."""
-    shared = item.get("backends")
-    if not shared:
+def _read_backends(item: dict[str, Any]) -> tuple[WeightedService, ...]:
+    """Return the services that share a route by weight, without those of weight 0.
+
+    A route that names a single service gives it the whole share.
+    """
+    backends = item.get("backends")
+    if not backends:
         return (WeightedService(ServiceName(item["service"]), 1.0),)
     return tuple(
-        WeightedService(ServiceName(part["service"]), float(part["weight"]))
-        for part in shared
-        if float(part["weight"]) > 0.0
+        WeightedService(ServiceName(backend["service"]), float(backend["weight"]))
+        for backend in backends
+        if float(backend["weight"]) > 0.0
     )
 
 
 def _read_service(item: dict[str, Any]) -> ServiceSpec:
     engine: dict[str, Any] = item.get("engine") or {}
-    layered = engine.get("layers") is not None
+    has_layers = engine.get("layers") is not None
     return ServiceSpec(
         ServiceName(item["name"]),
         int(item.get("max_conns", 0)),
-        _read_model(engine) if layered else None,
+        _read_model(engine) if has_layers else None,
     )
 
 
@@ -202,25 +219,30 @@
     return ModelSpec(
         layers,
         float(engine["layer_mb"]),
-        float(engine["kv_bytes"]) / layers / MEGABYTE,
-        float(engine["step_ms"]) / MILLISECONDS,
-        float(engine.get("per_seq_ms", 0.0)) / MILLISECONDS,
-        # Milliseconds for a thousand tokens of context.
-        float(engine.get("context_per_k", 0.0)) / MILLISECONDS / THOUSAND,
+        float(engine["kv_bytes"]) / layers / MEGA,
+        float(engine["step_ms"]) / MILLISECONDS_PER_SECOND,
+        float(engine.get("per_seq_ms", 0.0)) / MILLISECONDS_PER_SECOND,
+        # The key is in milliseconds per 1,000 tokens of context.
+        float(engine.get("context_per_k", 0.0))
+        / MILLISECONDS_PER_SECOND
+        / TOKENS_PER_K,
         1.0 / float(engine["read_per_s"]),
         float(models[0].get("load_s", 0.0)),
         int(engine.get("loads_at_once") or 1),
-        _read_crossing(engine),
+        _read_crossing_seconds(engine),
         {item["name"]: _read_accelerator(item) for item in engine["kinds"]},
     )
 
 
-def _read_crossing(engine: dict[str, Any]) -> float:
-    """Return the seconds that a token's activations take of the pipe between zones."""
-    pipe = float(engine.get("pipe_mbps") or 0.0)
-    if pipe <= 0.0:
+def _read_crossing_seconds(engine: dict[str, Any]) -> float:
+    """Return how long a token's activations occupy the link between data centres.
+
+    :return: seconds; 0 if the link's rate is unknown.
+    """
+    link_mbps = float(engine.get("pipe_mbps") or 0.0)
+    if link_mbps <= 0.0:
         return 0.0
-    return float(engine.get("activation_bytes", 0.0)) * BITS / MEGABYTE / pipe
+    return float(engine.get("activation_bytes", 0.0)) * BITS_PER_BYTE / MEGA / link_mbps
 
 
 def _read_accelerator(item: dict[str, Any]) -> Accelerator:
@@ -245,12 +267,18 @@
 
 
 def _read_limits(item: dict[str, Any]) -> ClientLimits:
-    usual = ClientLimits()
+    defaults = ClientLimits()
     return ClientLimits(
-        int(item.get("max_header_bytes", usual.header_bytes)),
-        int(item.get("max_body_bytes", usual.body_bytes)),
-        float(item.get("header_timeout_ms", usual.header_seconds * MILLISECONDS))
-        / MILLISECONDS,
-        float(item.get("idle_timeout_ms", usual.idle_seconds * MILLISECONDS))
-        / MILLISECONDS,
+        int(item.get("max_header_bytes", defaults.header_bytes)),
+        int(item.get("max_body_bytes", defaults.body_bytes)),
+        float(
+            item.get(
+                "header_timeout_ms", defaults.header_seconds * MILLISECONDS_PER_SECOND
+            )
+        )
+        / MILLISECONDS_PER_SECOND,
+        float(
+            item.get("idle_timeout_ms", defaults.idle_seconds * MILLISECONDS_PER_SECOND)
+        )
+        / MILLISECONDS_PER_SECOND,
     )
--- a/marigoldswitch/platform/daemon.py
+++ b/marigoldswitch/platform/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon on the users' platform: one gateway host in one process."""
+"""The daemon on the users' platform: runs one gateway host in one process."""
 
 import asyncio
 import os
@@ -13,14 +13,14 @@
 from marigoldswitch.gateway.ports import HostSettings
 from marigoldswitch.logs import BoundedStream, configure_logs
 from marigoldswitch.platform.compose import compose_gateway
-from marigoldswitch.platform.settings import FILE_VARIABLE, read_settings
+from marigoldswitch.platform.settings import SETTINGS_FILE_VARIABLE, read_settings
 
 logger = structlog.get_logger(__name__)
 
 WRONG_SETTINGS_STATUS = 2
-LOOK_SECONDS = 2.0
-"""Pause between two looks at the settings file: as long as a configuration may take to
-be in force."""
+SETTINGS_POLL_SECONDS = 2.0
+"""Interval of checks for a changed settings file, as long as a configuration may take
+to come into force."""
 
 
 def serve(
@@ -28,82 +28,82 @@
 ) -> int:
     """Run one gateway host until SIGTERM or SIGINT.
 
-    :param settings_file: the platform's settings; by default the file that the
-        environment variable MARIGOLDSWITCH_CONFIG names.
-    :param check: only check the settings.
-    :param log_level: least level of the lines that are logged.
+    :param settings_file: the platform's settings file; by default the one named by the
+        environment variable MARIGOLDSWITCH_CONFIG.
+    :param check: check the settings and exit.
+    :param log_level: lowest level of the lines that are logged.
     """
-    path = settings_file or Path(os.environ.get(FILE_VARIABLE, ""))
+    path = settings_file or Path(os.environ.get(SETTINGS_FILE_VARIABLE, ""))
     match read_settings(path):
         case Err(faults):
             print(faults, file=sys.stderr)
             return WRONG_SETTINGS_STATUS
-        case Ok((settings, store)):
+        case Ok((settings, store_address)):
             pass
     if check:
         print(f"{path}: fine")
         return 0
     configure_logs(log_level, BoundedStream(sys.stdout.fileno()))
     structlog.contextvars.bind_contextvars(host=settings.identity.name)
-    asyncio.run(_run(path, settings, store))
+    asyncio.run(_run(path, settings, store_address))
     return 0
 
 
-async def _run(path: Path, settings: HostSettings, store: str) -> None:
-    """Run a host; a first signal drains it, a second one stops it at once."""
-    first, second = asyncio.Event(), asyncio.Event()
+async def _run(path: Path, settings: HostSettings, store_address: str) -> None:
+    """Run a host; the first stop signal drains it, a second one stops it at once."""
+    drain_requested, stop_requested = asyncio.Event(), asyncio.Event()
 
-    def take_signal() -> None:
-        (second if first.is_set() else first).set()
+    def handle_signal() -> None:
+        (stop_requested if drain_requested.is_set() else drain_requested).set()
 
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, take_signal)
-    host = compose_gateway(settings, store)
-    file = SettingsFile(path, store, host)
-    loop.add_signal_handler(signal.SIGHUP, file.read)
+        loop.add_signal_handler(number, handle_signal)
+    host = compose_gateway(settings, store_address)
+    reloader = SettingsReloader(path, store_address, host)
+    loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     await host.start()
-    watch = asyncio.create_task(file.watch())
-    await first.wait()
-    watch.cancel()
-    drained = asyncio.create_task(host.drain())
-    hurried = asyncio.create_task(second.wait())
-    await asyncio.wait([drained, hurried], return_when=asyncio.FIRST_COMPLETED)
-    drained.cancel()
-    hurried.cancel()
+    watch_task = asyncio.create_task(reloader.watch())
+    await drain_requested.wait()
+    watch_task.cancel()
+    drain_task = asyncio.create_task(host.drain())
+    stop_task = asyncio.create_task(stop_requested.wait())
+    await asyncio.wait([drain_task, stop_task], return_when=asyncio.FIRST_COMPLETED)
+    drain_task.cancel()
+    stop_task.cancel()
     await host.stop()
 
 
-class SettingsFile:
-    """Puts the settings in force when their file has changed."""
+class SettingsReloader:
+    """Applies the settings to a host when their file has changed."""
 
-    def __init__(self, path: Path, store: str, host: GatewayHost) -> None:
+    def __init__(self, path: Path, store_address: str, host: GatewayHost) -> None:
         self._path = path
-        self._store = store
+        self._store_address = store_address
         self._host = host
-        self._seen = self._look()
+        self._last_state = self._read_file_state()
 
     async def watch(self) -> None:
-        """Look at the file from time to time: it may change without a signal."""
+        """Poll the file and reload it on change, as it may change without a signal."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            if self._look() != self._seen:
-                self.read()
+            await asyncio.sleep(SETTINGS_POLL_SECONDS)
+            if self._read_file_state() != self._last_state:
+                self.reload()
 
-    def read(self) -> None:
-        """Read the file; one with faults leaves the settings as they are."""
-        self._seen = self._look()
+    def reload(self) -> None:
+        """Read and apply the file; an invalid one leaves the settings unchanged."""
+        self._last_state = self._read_file_state()
         match read_settings(self._path):
             case Err(faults):
                 logger.error("settings_refused", why=faults)
-            case Ok((fresh, store)):
-                if store != self._store:
+            case Ok((settings, store_address)):
+                if store_address != self._store_address:
                     names = ["platform.address"]
                     logger.warning("settings_need_restart", settings=names)
-                self._host.use_settings(fresh)
+                self._host.use_settings(settings)
 
-    def _look(self) -> tuple[int, int] | None:
-        """Return what tells one content of the file from the next."""
+    def _read_file_state(self) -> tuple[int, int] | None:
+        """Return modification time in ns and size, or ``None`` if they can't be read."""
         try:
             stat = self._path.stat()
         except OSError:
@@ -112,10 +112,10 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the daemon from the command line."""
     if len(sys.argv) == 1:
-        # Without arguments, as the platform starts it, no parser is loaded: it and what
-        # it needs are a good part of a start.
+        # The platform starts the daemon without arguments. The argument parser is not
+        # imported then: it and its dependencies take a good part of the start-up time.
         sys.exit(serve())
     import defopt
 
--- a/marigoldswitch/platform/engines.py
+++ b/marigoldswitch/platform/engines.py
@@ -1,4 +1,4 @@
-"""Reports of engines and orders to them, over the platform's calls."""
+"""Reads the reports of engines and sends them orders, over the platform's protocol."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -21,20 +21,21 @@
     StalledRequest,
 )
 from marigoldswitch.gateway.upstream import is_refused
-from marigoldswitch.platform.configuration import read_born, read_layers
+from marigoldswitch.platform.configuration import read_layers, read_start_time
 from marigoldswitch.platform.headers import write_chain
 
 logger = structlog.get_logger(__name__)
 
-ORDER_SECONDS = 0.4
-"""Longest time for the answer to an order: live engines take milliseconds, and the
-lease's margin must be longer."""
+ORDER_TIMEOUT_SECONDS = 0.4
+"""Timeout of an order. Live engines answer within milliseconds; the lease's margin must
+be longer than this."""
 HTTP_NOT_FOUND = 404
-HANDOFF = "wait"
-"""Layers that are given up finish what passes through them."""
-LEAST_PACE = 0.01
-"""Below this a report's pace makes no sense; it must not make an engine look free."""
-RESULTS = {
+HANDOFF_MODE = "wait"
+"""An engine that gives up layers first finishes the requests that run through them."""
+MIN_PACE = 0.01
+"""Lower bound for a reported pace: a smaller one is implausible and would make the
+engine look as if its steps cost nothing."""
+ORDER_RESULTS = {
     200: OrderResult.DONE,
     202: OrderResult.BEGUN,
     404: OrderResult.ABSENT,
@@ -43,18 +44,24 @@
 
 
 class EngineClient:
-    """Speaks to engines."""
+    """HTTP client of the engines; implements ``EngineControl``."""
 
     def __init__(self, connections: Connections) -> None:
         self._connections = connections
 
     async def read(self, address: str, timeout: float) -> EngineAnswer | None:
-        """Return what an engine says of itself, or ``None`` without an answer."""
-        limit = aiohttp.ClientTimeout(total=timeout)
+        """Request an engine's report.
+
+        :param address: ``IP:port`` of the engine.
+        :param timeout: in seconds.
+        :return: ``EngineMute`` if it answers without a report, ``EngineGone`` if the
+            connection is refused, ``None`` if there is no answer.
+        """
+        client_timeout = aiohttp.ClientTimeout(total=timeout)
         try:
             session = self._connections.choose(address)
             url = f"http://{address}/report"
-            async with session.get(url, timeout=limit) as response:
+            async with session.get(url, timeout=client_timeout) as response:
                 content = await response.read()
                 if response.status != 200:
                     logger.info("report_refused", address=address, at=response.status)
@@ -62,7 +69,7 @@
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             logger.info("report_missing", address=address, why=repr(error))
             return EngineGone() if is_refused(error) else None
-        status = read_status(content)
+        status = decode_report(content)
         if status is None:
             logger.error("report_unreadable", address=address)
             return EngineMute()
@@ -71,16 +78,19 @@
     async def place(
         self, address: str, layers: LayerRange, sequence: int
     ) -> OrderReply:
-        """Order an engine to hold some layers."""
-        return await self._order(
+        """Order an engine to hold a range of layers.
+
+        :param sequence: orders that it must have begun before; else it refuses.
+        """
+        return await self._send_order(
             address,
             {
                 "op": "place",
                 "from": layers.first,
-                # The layer after the last one.
+                # The layer after the last.
                 "target": layers.end,
-                "handoff_mode": HANDOFF,
-                # The engine's own count of orders.
+                "handoff_mode": HANDOFF_MODE,
+                # Orders that the engine has begun, by its own count.
                 "expected_rev": sequence,
             },
         )
@@ -88,22 +98,24 @@
     async def reroute(
         self, address: str, request: RequestId, chain: Sequence[Stage]
     ) -> OrderReply:
-        """Order the first engine of a request to go on over another chain."""
+        """Order the first engine of a request to continue it over another chain."""
         path = write_chain(chain)
-        return await self._order(address, {"op": "repath", "id": request, "path": path})
+        return await self._send_order(
+            address, {"op": "repath", "id": request, "path": path}
+        )
 
-    async def _order(self, address: str, body: dict[str, Any]) -> OrderReply:
-        limit = aiohttp.ClientTimeout(total=ORDER_SECONDS)
+    async def _send_order(self, address: str, body: dict[str, Any]) -> OrderReply:
+        client_timeout = aiohttp.ClientTimeout(total=ORDER_TIMEOUT_SECONDS)
         try:
             session = self._connections.choose(address)
             async with session.post(
                 f"http://{address}/order",
                 data=orjson.dumps(body),
                 headers={"Content-Type": "application/json"},
-                timeout=limit,
+                timeout=client_timeout,
             ) as response:
                 content = await response.read()
-                result = RESULTS.get(response.status, OrderResult.UNKNOWN)
+                result = ORDER_RESULTS.get(response.status, OrderResult.UNKNOWN)
                 if result is OrderResult.UNKNOWN:
                     logger.warning(
                         "order_answer_unknown", address=address, at=response.status
@@ -115,6 +127,7 @@
 
 
 def _read_at_fault(content: bytes) -> str | None:
+    """Return the address of the engine that an answer blames, if it names one."""
     try:
         fields = orjson.loads(content) if content else {}
     except ValueError:
@@ -123,24 +136,25 @@
     return str(address) if address else None
 
 
-def read_status(content: bytes) -> EngineStatus | None:
-    """Return what a report says, or ``None`` if it is none."""
+def decode_report(content: bytes) -> EngineStatus | None:
+    """Decode an engine's report, or return ``None`` if it is malformed."""
     try:
-        return _build_status(orjson.loads(content))
+        return _read_report(orjson.loads(content))
     except (ValueError, KeyError, TypeError, AttributeError, OverflowError):
         return None
 
 
-def _build_status(fields: dict[str, Any]) -> EngineStatus:
+def _read_report(fields: dict[str, Any]) -> EngineStatus:
     return EngineStatus(
         read_layers(fields.get("layers")),
         bool(fields.get("busy", False)),
         int(fields.get("sequence", 0)),
-        # Over 1 where the engine is slow; for an accelerator it is the usual time.
-        max(LEAST_PACE, float(fields.get("pace") or 1.0)),
+        # Step time over the usual one: above 1 for a slow engine. In the configuration
+        # the same key is the usual step time of a kind of accelerator.
+        max(MIN_PACE, float(fields.get("pace") or 1.0)),
         tuple(
             StalledRequest(RequestId(item["id"]), str(item["address"]))
             for item in fields.get("stalled") or ()
         ),
-        read_born(fields),
+        read_start_time(fields),
     )
--- a/marigoldswitch/platform/headers.py
+++ b/marigoldswitch/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of the platform's callers and targets, translated to the gateway's types."""
+"""Translates headers of the platform's callers and targets to the gateway's types."""
 
 from collections.abc import Sequence
 
@@ -11,15 +11,16 @@
 from marigoldswitch.gateway.ports import Call, ReplyFacts, Sending
 
 ATTEMPT_ID = "Attempt-Id"
-"""Names one try of a caller, not a try of ours."""
+"""Id of one attempt of the caller; the gateway's own retries share it."""
 DEADLINE = "Deadline-Ms"
-"""Milliseconds left from the moment of sending, not a point in time."""
+"""Milliseconds left, counted from the moment of sending; not a point in time."""
 MODEL = "Model"
 TOKENS = "Token-Usage"
-"""Tokens of the prompt and most tokens of the answer; nothing has been used yet."""
+"""Tokens of the prompt and most tokens of the answer. Despite its name the header comes
+with the request, before any token is used."""
 PREFIX = "Prefix-Hash"
 LENGTH_HINT = "Length-Hint"
-"""What the caller expects of the answer, in tokens."""
+"""Length of the answer that the caller expects, in tokens."""
 LAST_EVENT_ID = "Last-Event-Id"
 SIGNATURE = "Replica-Signature"
 EXPECT_TARGET = "Expect-Replica"
@@ -27,10 +28,10 @@
 ACCOUNT = "Tenant"
 PRIORITY = "Request-Priority"
 CHAIN = "Hop-Count"
-"""The stages of the chain themselves, not their number."""
+"""The stages of the chain, despite its name not their number."""
 NOT_RUN = "Not-Executed"
 AT_FAULT = "At-Server"
-"""Address of the engine that is to blame for a refusal."""
+"""``IP:port`` of the engine that caused a refusal."""
 AUTHORIZATION = "Authorization"
 KEY_SCHEME = "token"
 RETRY_AFTER = "Retry-After"
@@ -48,8 +49,8 @@
         "upgrade",
     }
 )
-"""Headers that concern one connection only: RFC 9110, section 7.6.1."""
-OWN_HEADERS = frozenset(
+"""Headers that apply to a single connection (RFC 9110, section 7.6.1)."""
+UNFORWARDED_HEADERS = frozenset(
     name.lower()
     for name in (
         DEADLINE,
@@ -63,23 +64,24 @@
         "Expect",
     )
 )
-"""Headers of a caller that are never passed on as they came."""
-MILLISECONDS = 1000.0
+"""Headers of a caller that are never forwarded as received. The gateway writes some of
+them itself, so that callers cannot forge them."""
+MILLISECONDS_PER_SECOND = 1000.0
 LOWEST_PRIORITY = 9
-MISDIRECTED = 421
+HTTP_MISDIRECTED_REQUEST = 421
 
 
 class HeaderCodec:
-    """Translates heads of requests and answers."""
+    """Translates headers of requests and answers; implements ``CallCodec``."""
 
     def read_call(
         self, method: str, path: str, headers: CIMultiDictProxy[str]
     ) -> Result[Call, str]:
-        """Return a caller's request, or what is wrong with it."""
+        """Decode a caller's request, or return what is wrong with it."""
         host = headers.get("Host", "")
         try:
-            wait = _read_wait(headers.get(DEADLINE))
-            prompt, answer = _read_tokens(headers)
+            wait = _read_deadline(headers.get(DEADLINE))
+            prompt_tokens, answer_tokens = _read_tokens(headers)
         except ValueError as error:
             return Err(str(error))
         return Ok(
@@ -91,17 +93,17 @@
                 _read_key(headers.get(AUTHORIZATION)),
                 wait,
                 headers.get(LAST_EVENT_ID),
-                prompt,
-                answer,
-                _copy(headers, OWN_HEADERS),
+                prompt_tokens,
+                answer_tokens,
+                _copy_end_to_end(headers, UNFORWARDED_HEADERS),
             )
         )
 
     def write_headers(self, call: Call, sending: Sending) -> CIMultiDict[str]:
-        """Return the headers with which a request goes to a target."""
+        """Return the headers of a request that is sent to a target."""
         headers = CIMultiDict(call.headers)
-        left = max(1, int(sending.left * MILLISECONDS))
-        headers[DEADLINE] = str(left)
+        remaining_ms = max(1, int(sending.left * MILLISECONDS_PER_SECOND))
+        headers[DEADLINE] = str(remaining_ms)
         headers[EXPECT_TARGET] = sending.target
         if sending.account is not None:
             headers[ACCOUNT] = sending.account
@@ -113,9 +115,9 @@
         return headers
 
     def read_reply(self, status: int, headers: CIMultiDictProxy[str]) -> ReplyFacts:
-        """Return what the head of a target's answer says."""
+        """Decode the status and the headers of a target's answer."""
         request = headers.get(ATTEMPT_ID)
-        misdirected = status == MISDIRECTED
+        misdirected = status == HTTP_MISDIRECTED_REQUEST
         return ReplyFacts(
             RequestId(request) if request is not None else None,
             NOT_RUN in headers or misdirected,
@@ -127,11 +129,17 @@
         )
 
     def write_reply(self, headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-        """Return the headers of a target's answer that go to the caller."""
-        return _copy(headers, frozenset({"content-length", TARGET_LOAD.lower()}))
+        """Return the headers of a target's answer that are forwarded to the caller."""
+        return _copy_end_to_end(
+            headers, frozenset({"content-length", TARGET_LOAD.lower()})
+        )
 
     def write_refusal(self, call: Call | None, wait: float | None) -> CIMultiDict[str]:
-        """Return the headers of an answer of our own."""
+        """Return the headers of a refusal by the gateway itself.
+
+        :param call: ``None`` if the request could not be decoded.
+        :param wait: seconds after which the caller may try again, if known.
+        """
         headers: CIMultiDict[str] = CIMultiDict()
         if call is not None and call.id:
             headers[ATTEMPT_ID] = call.id
@@ -141,46 +149,59 @@
 
 
 def write_chain(chain: Sequence[Stage]) -> str:
-    """Return the stages of a chain as engines take them."""
+    """Encode a chain for engines: ``IP:port=first-end``, separated by commas."""
     return ",".join(
         f"{item.address}={item.layers.first}-{item.layers.end}" for item in chain
     )
 
 
-def _copy(headers: CIMultiDictProxy[str], without: frozenset[str]) -> CIMultiDict[str]:
-    """Return headers less those of the connection and some others."""
-    named = {
+def _copy_end_to_end(
+    headers: CIMultiDictProxy[str], also_excluded: frozenset[str]
+) -> CIMultiDict[str]:
+    """Return the end-to-end headers, less some others.
+
+    :param also_excluded: names in lower case.
+    """
+    connection_options = {
         name.strip().lower()
         for value in headers.getall("Connection", ())
         for name in value.split(",")
     }
-    left_out = HOP_BY_HOP | named | without
+    excluded = HOP_BY_HOP | connection_options | also_excluded
     return CIMultiDict(
-        (name, value) for name, value in headers.items() if name.lower() not in left_out
+        (name, value) for name, value in headers.items() if name.lower() not in excluded
     )
 
 
-def _read_wait(text: str | None) -> float | None:
+def _read_deadline(text: str | None) -> float | None:
+    """Return the seconds that a caller waits, if it says so.
+
+    :raises ValueError: if it is not a finite number of at least 0.
+    """
     if text is None:
         return None
     try:
-        wait = float(text) / MILLISECONDS
+        wait = float(text) / MILLISECONDS_PER_SECOND
     except ValueError:
-        raise ValueError(f"{DEADLINE} is no number") from None
+        raise ValueError(f"{DEADLINE} is not a number") from None
     if not 0.0 <= wait < float("inf"):
         raise ValueError(f"{DEADLINE} is out of range")
     return wait
 
 
 def _read_tokens(headers: CIMultiDictProxy[str]) -> tuple[int, int]:
-    """Return the tokens of the prompt and those expected of the answer."""
+    """Return the tokens of the prompt and the expected ones of the answer.
+
+    :return: zeros if the caller does not say.
+    :raises ValueError: if the header is malformed.
+    """
     text = headers.get(TOKENS)
     if text is None:
         return 0, 0
-    prompt, _, most = text.partition(",")
-    if not prompt.strip().isdigit() or not most.strip().isdigit():
+    prompt, _, most_answer = text.partition(",")
+    if not prompt.strip().isdigit() or not most_answer.strip().isdigit():
         raise ValueError(f"{TOKENS} is not two numbers")
-    expected = int(most)
+    expected = int(most_answer)
     hint = headers.get(LENGTH_HINT, "").strip()
     if hint.isdigit():
         expected = min(expected, int(hint))
@@ -188,6 +209,7 @@
 
 
 def _read_key(text: str | None) -> str | None:
+    """Return the key of an ``Authorization`` header of the scheme ``token``."""
     if text is None:
         return None
     scheme, _, key = text.strip().partition(" ")
@@ -195,6 +217,7 @@
 
 
 def _read_load(text: str | None) -> Load | None:
+    """Return the running and waiting requests that a target states, if well-formed."""
     parts = (text or "").split(",")
     if len(parts) < 2 or not all(item.strip().isdigit() for item in parts[:2]):
         return None
--- a/marigoldswitch/platform/settings.py
+++ b/marigoldswitch/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into what a gateway host is told."""
+"""Decodes the platform's settings file into the settings of a gateway host."""
 
 from pathlib import Path
 from typing import Any
@@ -9,16 +9,16 @@
 from marigoldswitch.core.relays import measure_strength
 from marigoldswitch.gateway.ports import Addresses, HostSettings, Identity
 
-FILE_VARIABLE = "MARIGOLDSWITCH_CONFIG"
+SETTINGS_FILE_VARIABLE = "MARIGOLDSWITCH_CONFIG"
 """Environment variable with the path of the settings file."""
 BYTES_PER_MEGABIT = 125_000
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 
 
 def read_settings(path: Path) -> Result[tuple[HostSettings, str], str]:
-    """Return the settings of a host and the address of the store.
+    """Return the settings of a host and the store's ``IP:port``, or what is wrong.
 
-    Fields that are not known are left alone: the platform adds some at times.
+    Unknown fields are ignored, as the platform may add some.
     """
     try:
         fields = orjson.loads(path.read_bytes())
@@ -29,15 +29,15 @@
     faults = list_faults(fields)
     if faults:
         return Err("\n".join(f"{path}: {fault}" for fault in faults))
-    return Ok((_read_host(fields), str(fields["platform"]["address"])))
+    return Ok((_build_settings(fields), str(fields["platform"]["address"])))
 
 
 def list_faults(fields: Any) -> list[str]:
-    """Return what is wrong with the fields that are needed."""
+    """Return the errors in the required fields."""
     if not isinstance(fields, dict):
-        return ["it holds no table of settings"]
+        return ["it must hold a JSON object"]
     faults = [
-        f"{name}: must be a text, is {fields.get(name)!r}"
+        f"{name}: must be a non-empty string, is {fields.get(name)!r}"
         for name in ("node_name", "ip", "zone", "region")
         if not isinstance(fields.get(name), str) or not fields.get(name)
     ]
@@ -54,7 +54,7 @@
 ) -> list[str]:
     values = fields.get(table)
     if not isinstance(values, dict):
-        return [f"{table}: must be a table, is {values!r}"]
+        return [f"{table}: must be an object, is {values!r}"]
     return [
         f"{table}.{name}: must be IP:port, is {values.get(name)!r}"
         for name in names
@@ -69,50 +69,64 @@
     return bool(host) and port.isdigit() and 0 < int(port) < 65536
 
 
-def _read_host(fields: dict[str, Any]) -> HostSettings:
+def _build_settings(fields: dict[str, Any]) -> HostSettings:
     listen = fields["listen"]
-    peers = listen.get("control_plane") or f"{fields['ip']}:{fields['port_range'][0]}"
+    peer_address = (
+        listen.get("control_plane") or f"{fields['ip']}:{fields['port_range'][0]}"
+    )
     bounds = fields.get("bounds") or {}
-    window = float(bounds.get("budget_window_s") or 10.0)
-    link = _read_link(fields)
-    strength = measure_strength(link) if link else 0
-    usual = HostSettings(
+    budget_window = float(bounds.get("budget_window_s") or 10.0)
+    link_bytes = _read_link_bytes(fields)
+    strength = measure_strength(link_bytes) if link_bytes else 0
+    defaults = HostSettings(
         Identity(
-            peers, fields["node_name"], fields["zone"], fields["region"], strength
+            peer_address,
+            fields["node_name"],
+            fields["zone"],
+            fields["region"],
+            strength,
         ),
         Addresses(
             str(listen["frontend"]),
             str(listen["ready"]),
-            peers,
+            peer_address,
             f"{fields['ip']}:{fields['port_range'][-1]}",
         ),
     )
-    allowance = bounds.get("retry_allowance")
+    retry_allowance = bounds.get("retry_allowance")
     return HostSettings(
-        usual.identity,
-        usual.addresses,
-        tuple(str(item) for item in fields.get("seeds") or () if item != peers),
-        float(bounds.get("grace_s") or usual.stop_seconds),
-        usual.retry_allowance if allowance is None else float(allowance) / window,
-        float(bounds.get("retry_budget_ratio", usual.retry_share)),
-        link or usual.link_bytes,
-        _read_seconds(bounds, "contact_ms") or usual.touch_seconds,
-        _read_seconds(bounds, "drain_ms") or usual.leaving_seconds,
+        defaults.identity,
+        defaults.addresses,
+        tuple(str(item) for item in fields.get("seeds") or () if item != peer_address),
+        float(bounds.get("grace_s") or defaults.stop_seconds),
+        defaults.retry_allowance
+        if retry_allowance is None
+        else float(retry_allowance) / budget_window,
+        float(bounds.get("retry_budget_ratio", defaults.retry_share)),
+        link_bytes or defaults.link_bytes,
+        _read_seconds(bounds, "contact_ms") or defaults.touch_seconds,
+        _read_seconds(bounds, "drain_ms") or defaults.leaving_seconds,
     )
 
 
 def _read_seconds(bounds: dict[str, Any], name: str) -> float | None:
-    """Return a bound in seconds, where it is given in milliseconds."""
+    """Return a bound that is given in milliseconds, in seconds.
+
+    :return: ``None`` if it is missing or not a positive number.
+    """
     value = bounds.get(name)
     if not isinstance(value, int | float) or value <= 0:
         return None
-    return value / MILLISECONDS
+    return value / MILLISECONDS_PER_SECOND
 
 
-def _read_link(fields: dict[str, Any]) -> float | None:
-    """Return the bytes a second of the host's link, where it is named in Mbit/s."""
+def _read_link_bytes(fields: dict[str, Any]) -> float | None:
+    """Return the rate of the host's link in bytes a second, given in Mbit/s.
+
+    :return: ``None`` if it is missing or not a positive number.
+    """
     limits = fields.get("limits")
-    rate = limits.get("link_mbps") if isinstance(limits, dict) else None
-    if not isinstance(rate, int | float) or rate <= 0:
+    megabits_per_second = limits.get("link_mbps") if isinstance(limits, dict) else None
+    if not isinstance(megabits_per_second, int | float) or megabits_per_second <= 0:
         return None
-    return rate * BYTES_PER_MEGABIT
+    return megabits_per_second * BYTES_PER_MEGABIT
--- a/marigoldswitch/platform/store.py
+++ b/marigoldswitch/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: rows, feeds of them, and the rows of our own."""
+"""Client of the platform's store: change feeds, single rows, and the hosts' rows."""
 
 import base64
 from collections.abc import Sequence
@@ -25,13 +25,13 @@
 
 logger = structlog.get_logger(__name__)
 
-CALL_SECONDS = 0.6
-"""Longest time for a call: the store takes some 4 ms, a slow one up to 60 times that;
-what takes longer is as good as lost for beliefs that must hold within 2 s."""
-WAIT_SLACK_SECONDS = 0.5
-"""Time beyond the one that a feed may wait."""
+CALL_TIMEOUT_SECONDS = 0.6
+"""Timeout of a call. The store takes about 4 ms, a slow one up to 60 times as long; any
+later answer is of no use for information that must be current within 2 s."""
+FEED_SLACK_SECONDS = 0.5
+"""Time that a call to a feed may take beyond the wait that it asks for."""
 PAGE_ROWS = 500
-"""Rows of one answer, as many as the store gives."""
+"""Rows per page, the most that the store returns."""
 OPERATOR_TABLE = "op"
 CONFIGURATION_KEY = "config"
 TARGETS_TABLE = "servers"
@@ -39,8 +39,9 @@
 
 HTTP_OK = 200
 HTTP_GONE = 410
-HTTP_CONFLICT = 412
-NOT_DONE = frozenset({429, 503})
+HTTP_PRECONDITION_FAILED = 412
+NOT_EXECUTED_STATUSES = frozenset({429, 503})
+"""Statuses with which the store refuses a call without executing it."""
 ERA_HEADER = "Store-Era"
 
 Fields = dict[str, Any]
@@ -50,8 +51,9 @@
 class StoreAnswer:
     """An answer of the store.
 
-    :param era: how often the store has come back from an older copy; 0 where it does
-        not say.
+    :param fields: the decoded body; empty unless the status is 200.
+    :param era: times that the store was restored from an older copy; 0 if it has never
+        stated them.
     """
 
     status: int
@@ -60,40 +62,47 @@
 
     @property
     def revision(self) -> int:
-        """Return the store's newest place."""
+        """Return the store's newest revision."""
         return make_revision(self.era, int(self.fields["row_version"]))
 
-    def is_later(self, revision: int) -> bool:
-        """Tell whether the store has come back from a copy since a place."""
+    def is_restored_since(self, revision: int) -> bool:
+        """Tell whether the store was restored from a copy after a revision."""
         return get_era(self.revision) != get_era(revision)
 
 
 class PlatformStore:
-    """Speaks the store's calls; keeps nothing but connections."""
+    """HTTP client of the store; caches no rows.
+
+    Implements ``PlatformFeeds``, ``VersionedTable`` and ``HostDirectory``.
+    """
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
         self._session = session
         self._base = f"http://{address}"
         self._era = 0
-        """The one last told."""
+        """The latest valid one that an answer stated."""
 
     # Feeds.
 
     async def wait_configuration(
         self, revision: int, seconds: float
     ) -> Result[tuple[StoredConfiguration | None, int], FeedFault]:
-        """Return the configuration once it is newer than a revision."""
+        """Wait for a configuration newer than a revision, for some seconds at most.
+
+        :param revision: 0 to read it at once.
+        :return: the configuration if there is a new one, and the newest revision.
+        """
         if revision == 0:
             answer = await self._get_rows(OPERATOR_TABLE)
         else:
-            answer = await self._feed(OPERATOR_TABLE, revision, seconds)
+            answer = await self._read_feed(OPERATOR_TABLE, revision, seconds)
         if isinstance(answer, Err):
             return answer
         rows, newest = answer.ok_value
         for row in reversed(rows):
             if row["key"] != CONFIGURATION_KEY or row.get("deleted"):
                 continue
-            match decode_configuration(_read_value(row)):
+            match decode_configuration(_decode_value(row)):
                 case Ok(stored):
                     return Ok((stored, newest))
                 case Err(why):
@@ -102,76 +111,86 @@
         return Ok((None, newest))
 
     def decode_configuration(self, content: bytes) -> Result[StoredConfiguration, str]:
-        """Return a configuration that a peer has passed on."""
+        """Decode a configuration received from a peer."""
         return decode_configuration(content)
 
     async def wait_targets(
         self, revision: int, seconds: float
     ) -> Result[TargetChanges, FeedFault]:
-        """Return what has changed of the targets since a revision, or after a time."""
-        whole = revision == 0
-        if whole:
+        """Wait for changes of targets after a revision, for some seconds at most.
+
+        :param revision: 0 to read all targets at once.
+        """
+        is_whole = revision == 0
+        if is_whole:
             answer = await self._get_rows(TARGETS_TABLE)
         else:
-            answer = await self._feed(TARGETS_TABLE, revision, seconds)
+            answer = await self._read_feed(TARGETS_TABLE, revision, seconds)
         if isinstance(answer, Err):
             return answer
         rows, newest = answer.ok_value
         latest: dict[str, Fields] = {row["key"]: row for row in rows}
-        found, removed = [], []
+        targets, removed = [], []
         for key, row in latest.items():
             if row.get("deleted"):
                 removed.append(TargetId(key))
                 continue
             match _decode_target(key, row):
                 case Ok(target):
-                    found.append(target)
+                    targets.append(target)
                 case Err(why):
-                    # Of another writer: it names no target, also not the one that
-                    # the row named before.
+                    # Another program wrote it. The target that the row described
+                    # before, if any, counts as removed.
                     logger.warning("target_unreadable", target=key, why=why)
                     removed.append(TargetId(key))
-        return Ok(TargetChanges(found, removed, newest, whole))
+        return Ok(TargetChanges(targets, removed, newest, is_whole))
 
     # Single rows.
 
     async def read(self, table: str, key: str) -> Result[Row | None, StoreFault]:
-        """Return one row, or ``None`` where there is none."""
+        """Return one row, or ``None`` if it does not exist."""
         query = {"table": table, "part": "", "from": key, "limit": "1"}
         answer = await self._call("GET", "/rows-get", query)
         if isinstance(answer, Err):
             return answer
-        found = answer.ok_value
-        if found.status != HTTP_OK:
-            return Err(_judge(found.status))
-        for row in found.fields["rows"]:
+        response = answer.ok_value
+        if response.status != HTTP_OK:
+            return Err(_classify_status(response.status))
+        for row in response.fields["rows"]:
             if row["key"] == key:
-                return Ok(Row(_read_value(row), _read_revision(row, found.era)))
+                return Ok(Row(_decode_value(row), _get_row_revision(row, response.era)))
         return Ok(None)
 
     async def write(
         self, table: str, key: str, value: bytes, expect: int
     ) -> Result[int, StoreFault]:
-        """Write a row that has a version still and return its new one."""
+        """Write a row if its version is unchanged; return the new revision.
+
+        :param expect: revision at which it was read; 0 if it must not exist.
+        """
         version = get_version(expect)
-        guard = [{"table": table, "part": "", "key": key, "row_version": version}]
-        written = await self._transact(guard, [_write_row(table, key, value)], [])
+        preconditions = [
+            {"table": table, "part": "", "key": key, "row_version": version}
+        ]
+        written = await self._transact(
+            preconditions, [_encode_row(table, key, value)], []
+        )
         if expect and written.is_ok() and get_era(written.unwrap()) != get_era(expect):
-            # Versions are given out again: the guard held by chance.
+            # A restored store reuses versions: the precondition held by chance.
             return Err(StoreFault.RESTORED)
         return written
 
     async def enter(self, record: HostRecord) -> Result[None, StoreFault]:
         """Write this host's row."""
         value = bytes(msgpack.packb([record.data_centre, record.strength]))
-        put = _write_row(HOSTS_TABLE, record.address, value)
+        put = _encode_row(HOSTS_TABLE, record.address, value)
         written = await self._transact([], [put], [])
         return Err(written.err_value) if isinstance(written, Err) else Ok(None)
 
     async def leave(self, record: HostRecord) -> Result[None, StoreFault]:
         """Delete a host's row."""
-        name = {"table": HOSTS_TABLE, "part": "", "key": record.address}
-        written = await self._transact([], [], [name])
+        row_key = {"table": HOSTS_TABLE, "part": "", "key": record.address}
+        written = await self._transact([], [], [row_key])
         return Err(written.err_value) if isinstance(written, Err) else Ok(None)
 
     async def list_hosts(self) -> Result[Sequence[HostRecord], StoreFault]:
@@ -182,7 +201,7 @@
         records = []
         for row in answer.ok_value[0]:
             try:
-                records.append(_decode_host(row["key"], _read_value(row)))
+                records.append(_decode_host(row["key"], _decode_value(row)))
             except (ValueError, TypeError, msgpack.UnpackException) as error:
                 logger.error("host_unreadable", host=row["key"], why=str(error))
         return Ok(records)
@@ -192,61 +211,66 @@
     async def _get_rows(
         self, table: str
     ) -> Result[tuple[list[Fields], int], FeedFault]:
-        """Return all rows of a table, and the version up to which they are complete."""
+        """Return all rows of a table and the revision up to which they are complete."""
         rows: list[Fields] = []
         revision = 0
-        begin = ""
+        first_key = ""
         while True:
             query = {"table": table, "part": "", "limit": str(PAGE_ROWS)}
-            if begin:
-                query["from"] = begin
+            if first_key:
+                query["from"] = first_key
             answer = await self._call("GET", "/rows-get", query)
             if isinstance(answer, Err) or answer.ok_value.status != HTTP_OK:
                 return Err(FeedFault.UNAVAILABLE)
             page = answer.ok_value
-            # The first page is the oldest: what came since, the feed tells.
+            # That of the first page: the feed brings all changes made since then.
             revision = revision or page.revision
-            if page.is_later(revision):
+            if page.is_restored_since(revision):
                 return Err(FeedFault.HISTORY_GONE)
-            rows += _stamp(page)
+            rows += _add_revisions(page)
             if not page.fields.get("has_more"):
                 return Ok((rows, revision))
-            begin = rows[-1]["key"] + "\0"
+            first_key = rows[-1]["key"] + "\0"
 
-    async def _feed(
+    async def _read_feed(
         self, table: str, revision: int, seconds: float
     ) -> Result[tuple[list[Fields], int], FeedFault]:
+        """Return the rows changed after a revision, and the newest revision."""
         query = {
             "table": table,
             "since_rev": str(get_version(revision)),
             "wait_ms": str(int(seconds * 1000)),
         }
-        limit = seconds + WAIT_SLACK_SECONDS
-        answer = await self._call("GET", "/rows-feed", query, limit=limit)
+        timeout = seconds + FEED_SLACK_SECONDS
+        answer = await self._call("GET", "/rows-feed", query, timeout=timeout)
         if isinstance(answer, Err):
             return Err(FeedFault.UNAVAILABLE)
-        found = answer.ok_value
-        if found.status == HTTP_GONE:
+        response = answer.ok_value
+        if response.status == HTTP_GONE:
             return Err(FeedFault.HISTORY_GONE)
-        if found.status != HTTP_OK:
+        if response.status != HTTP_OK:
             return Err(FeedFault.UNAVAILABLE)
-        if found.is_later(revision):
-            # Its versions have passed the one asked for once more: what was written
-            # between is not in this answer.
+        if response.is_restored_since(revision):
+            # The restored store has reached the requested version again. Changes made
+            # on the way there are missing from this answer.
             return Err(FeedFault.HISTORY_GONE)
-        return Ok((_stamp(found), found.revision))
+        return Ok((_add_revisions(response), response.revision))
 
     async def _transact(
-        self, guard: list[Fields], puts: list[Fields], removed: list[Fields]
+        self, preconditions: list[Fields], puts: list[Fields], removals: list[Fields]
     ) -> Result[int, StoreFault]:
-        body = {"expected_rev": guard, "puts": puts, "remove": removed}
+        """Write and delete rows together, if all preconditions hold.
+
+        :return: the new revision.
+        """
+        body = {"expected_rev": preconditions, "puts": puts, "remove": removals}
         answer = await self._call("POST", "/rows-tx", {}, orjson.dumps(body))
         if isinstance(answer, Err):
             return answer
-        found = answer.ok_value
-        if found.status != HTTP_OK:
-            return Err(_judge(found.status))
-        return Ok(found.revision)
+        response = answer.ok_value
+        if response.status != HTTP_OK:
+            return Err(_classify_status(response.status))
+        return Ok(response.revision)
 
     async def _call(
         self,
@@ -254,9 +278,12 @@
         path: str,
         query: dict[str, str],
         body: bytes | None = None,
-        limit: float = CALL_SECONDS,
+        timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> Result[StoreAnswer, StoreFault]:
-        """Make a call and return its answer."""
+        """Make a call and return its answer, whatever the status.
+
+        :param timeout: in seconds.
+        """
         headers = {"Content-Type": "application/json"} if body else None
         try:
             async with self._session.request(
@@ -265,18 +292,20 @@
                 params=query,
                 data=body,
                 headers=headers,
-                timeout=aiohttp.ClientTimeout(total=limit, sock_connect=CALL_SECONDS),
+                timeout=aiohttp.ClientTimeout(
+                    total=timeout, sock_connect=CALL_TIMEOUT_SECONDS
+                ),
             ) as response:
                 content = await response.read()
-                era = self._read_era(response.headers.get(ERA_HEADER))
+                era = self._update_era(response.headers.get(ERA_HEADER))
                 fields = orjson.loads(content) if response.status == HTTP_OK else {}
                 return Ok(StoreAnswer(response.status, fields, era))
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             logger.debug("store_call_failed", path=path, why=repr(error))
             return Err(StoreFault.UNKNOWN)
 
-    def _read_era(self, text: str | None) -> int:
-        """Return the era that an answer tells; the last one where it tells none."""
+    def _update_era(self, text: str | None) -> int:
+        """Note the era that an answer states, if it is valid; return the latest one."""
         if text is not None and text.isdecimal():
             self._era = int(text)
         elif text is not None:
@@ -285,9 +314,9 @@
 
 
 def _decode_host(address: str, value: bytes) -> HostRecord:
-    """Return what a host's row says; hosts of before wrote their data centre alone.
+    """Decode a host's row, also in the older format that has only the data centre.
 
-    :raises ValueError: if it is no row of a host.
+    :raises ValueError: if the row is malformed; also ``TypeError``.
     """
     fields = msgpack.unpackb(value)
     if isinstance(fields, str):
@@ -296,35 +325,40 @@
     return HostRecord(address, str(centre), int(strength))
 
 
-def _judge(status: int) -> StoreFault:
-    if status == HTTP_CONFLICT:
+def _classify_status(status: int) -> StoreFault:
+    """Return the fault that a status other than 200 stands for."""
+    if status == HTTP_PRECONDITION_FAILED:
         return StoreFault.CONFLICT
-    return StoreFault.UNAVAILABLE if status in NOT_DONE else StoreFault.UNKNOWN
+    return (
+        StoreFault.UNAVAILABLE
+        if status in NOT_EXECUTED_STATUSES
+        else StoreFault.UNKNOWN
+    )
 
 
 def _decode_target(key: str, row: Fields) -> Result[TargetRow, str]:
     try:
-        return decode_target(key, _read_value(row), int(row["revision"]))
+        return decode_target(key, _decode_value(row), int(row["revision"]))
     except (ValueError, TypeError) as error:
         return Err(f"{type(error).__name__}: {error}")
 
 
-def _read_revision(row: Fields, era: int) -> int:
+def _get_row_revision(row: Fields, era: int) -> int:
     return make_revision(era, int(row["row_version"]))
 
 
-def _stamp(answer: StoreAnswer) -> list[Fields]:
-    """Return the rows of an answer, each with its place in the store's history."""
+def _add_revisions(answer: StoreAnswer) -> list[Fields]:
+    """Return the rows of an answer, each with its revision added."""
     return [
-        {**row, "revision": _read_revision(row, answer.era)}
+        {**row, "revision": _get_row_revision(row, answer.era)}
         for row in answer.fields["rows"]
     ]
 
 
-def _read_value(row: Fields) -> bytes:
+def _decode_value(row: Fields) -> bytes:
     return base64.b64decode(row["value"])
 
 
-def _write_row(table: str, key: str, value: bytes) -> Fields:
+def _encode_row(table: str, key: str, value: bytes) -> Fields:
     encoded = base64.b64encode(value).decode()
     return {"table": table, "part": "", "key": key, "value": encoded}
--- a/marigoldswitch/tests/test_deploy.py
+++ b/marigoldswitch/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the deploy file names exists, and is built from the pinned versions."""
+"""The deploy file names existing modules; its build uses the pinned versions."""
 
 import importlib
 import tomllib
--- a/marigoldswitch/tests/test_platform_configuration.py
+++ b/marigoldswitch/tests/test_platform_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the targets' rows, decoded."""
+"""Decoding of the operator's configuration and of the targets' rows."""
 
 import orjson
 import pytest
@@ -7,7 +7,7 @@
 from marigoldswitch.core.catalogue import LayerRange
 from marigoldswitch.core.routes import RouteKind
 from marigoldswitch.platform.configuration import (
-    ROW_FIELDS,
+    REQUIRED_ROW_FIELDS,
     decode_configuration,
     decode_target,
 )
@@ -31,7 +31,7 @@
     return decode_configuration(orjson.dumps(document))
 
 
-def test_configuration_says_what_its_fields_hold():
+def test_configuration_fields_are_decoded():
     table = decode(build_configuration(7)).unwrap().table
     assert table.version == 7
     kinds = {route.prefix: route.kind for route in table.routes}
@@ -50,7 +50,7 @@
     assert table.services["desk"].model is None
 
 
-def test_shared_route_leaves_out_services_without_a_share():
+def test_route_leaves_out_services_of_zero_weight():
     document = build_configuration()
     route = document["routes"][1]
     del route["service"]
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(
     "content", [b"", b"[]", b"{}", b'{"version": "x", "routes": [], "services": []}']
 )
-def test_configuration_that_is_none_is_refused(content):
+def test_malformed_configuration_is_refused(content):
     assert isinstance(decode_configuration(content), Err)
 
 
@@ -82,7 +82,7 @@
     assert row.leaving and row.target.layers is None
 
 
-def test_row_that_is_none_is_refused():
+def test_malformed_row_is_refused():
     assert isinstance(decode_target("i-1", b'{"zone": 1}', 1), Err)
 
 
@@ -94,9 +94,11 @@
     assert decode_target("i-1", orjson.dumps(ROW), 12).unwrap().born == 0
 
 
-@pytest.mark.parametrize("name", [*sorted(ROW_FIELDS), "born", "layers", "route_type"])
+@pytest.mark.parametrize(
+    "name", [*sorted(REQUIRED_ROW_FIELDS), "born", "layers", "route_type"]
+)
 @pytest.mark.parametrize("value", [True, 1.5, ["x"], {"from": "0", "target": 8}, "?"])
-def test_row_with_a_field_of_another_type_names_no_target(name, value):
+def test_row_with_a_field_of_the_wrong_type_is_refused(name, value):
     if name in ("service", "zone", "version", "route_type") and value == "?":
         return
     fields = {**ROW, name: value}
@@ -105,8 +107,8 @@
     assert isinstance(decode_target("i-1", orjson.dumps(fields), 12), Err)
 
 
-@pytest.mark.parametrize("name", sorted(ROW_FIELDS))
-def test_row_that_lacks_a_field_names_no_target(name):
+@pytest.mark.parametrize("name", sorted(REQUIRED_ROW_FIELDS))
+def test_row_without_a_required_field_is_refused(name):
     fields = {key: value for key, value in ROW.items() if key != name}
     assert isinstance(decode_target("i-1", orjson.dumps(fields), 12), Err)
 
@@ -124,5 +126,5 @@
         {"layers": {"from": -1, "target": 4}},
     ],
 )
-def test_row_of_another_writer_names_no_target(change):
+def test_row_with_an_invalid_value_is_refused(change):
     assert isinstance(decode_target("i-1", orjson.dumps({**ROW, **change}), 12), Err)
--- a/marigoldswitch/tests/test_platform_daemon.py
+++ b/marigoldswitch/tests/test_platform_daemon.py
@@ -1,51 +1,51 @@
-"""Settings come into force when their file changes; a bad file changes nothing."""
+"""Settings are reloaded when their file changes; an invalid file changes nothing."""
 
 import asyncio
 import os
 from types import SimpleNamespace
 
 from marigoldswitch.gateway.exchanges import CAUTION
-from marigoldswitch.platform.daemon import SettingsFile
+from marigoldswitch.platform.daemon import SettingsReloader
 from marigoldswitch.platform.settings import read_settings
 from marigoldswitch.tests.gateway_site import run_site
 from marigoldswitch.tests.helpers import run_async
 from marigoldswitch.tests.test_platform_settings import FIELDS, write
 
 
-def build_file(path):
-    taken = []
-    host = SimpleNamespace(use_settings=taken.append)
-    return SettingsFile(path, "10.200.1.7:8223", host), taken
+def build_reloader(path):
+    applied = []
+    host = SimpleNamespace(use_settings=applied.append)
+    return SettingsReloader(path, "10.200.1.7:8223", host), applied
 
 
-def test_changed_file_is_taken_without_a_signal(tmp_path, monkeypatch):
-    monkeypatch.setattr("marigoldswitch.platform.daemon.LOOK_SECONDS", 0.0)
+def test_changed_file_is_reloaded_without_a_signal(tmp_path, monkeypatch):
+    monkeypatch.setattr("marigoldswitch.platform.daemon.SETTINGS_POLL_SECONDS", 0.0)
     path = write(tmp_path, FIELDS)
-    file, taken = build_file(path)
+    reloader, applied = build_reloader(path)
 
     async def scenario():
-        watch = asyncio.create_task(file.watch())
+        watch = asyncio.create_task(reloader.watch())
         write(tmp_path, {**FIELDS, "bounds": {"grace_s": 5}})
         os.utime(path, ns=(1, 1))
-        while not taken:
+        while not applied:
             await asyncio.sleep(0)
         watch.cancel()
 
     run_async(scenario())
-    assert taken[0].stop_seconds == 5.0
+    assert applied[0].stop_seconds == 5.0
 
 
-def test_bad_file_leaves_the_settings_as_they_are(tmp_path):
+def test_invalid_file_leaves_the_settings_unchanged(tmp_path):
     path = write(tmp_path, FIELDS)
-    file, taken = build_file(path)
+    reloader, applied = build_reloader(path)
     path.write_bytes(b"{")
-    file.read()
+    reloader.reload()
     path.unlink()
-    file.read()
-    assert taken == []
+    reloader.reload()
+    assert applied == []
     write(tmp_path, FIELDS)
-    file.read()
-    assert len(taken) == 1
+    reloader.reload()
+    assert len(applied) == 1
 
 
 def test_host_uses_new_bounds_and_keeps_its_addresses(tmp_path):
--- a/marigoldswitch/tests/test_platform_fuzz.py
+++ b/marigoldswitch/tests/test_platform_fuzz.py
@@ -1,4 +1,4 @@
-"""What comes from outside never ends a process: it is read, or named as wrong."""
+"""Input from outside never raises an exception: it is decoded or refused."""
 
 import orjson
 from hypothesis import given, strategies as st
@@ -6,13 +6,13 @@
 from result import Err, Ok
 
 from marigoldswitch.platform.configuration import decode_configuration, decode_target
-from marigoldswitch.platform.engines import read_status
+from marigoldswitch.platform.engines import decode_report
 from marigoldswitch.platform.headers import HeaderCodec
 from marigoldswitch.platform.settings import list_faults
 from marigoldswitch.tests.gateway_site import build_configuration
 
 CODEC = HeaderCodec()
-NAMES = (
+HEADER_NAMES = (
     "Host",
     "Attempt-Id",
     "Deadline-Ms",
@@ -26,12 +26,12 @@
     "At-Server",
     "Content-Encoding",
 )
-TEXTS = st.one_of(
+HEADER_VALUES = st.one_of(
     st.text(st.characters(min_codepoint=32, max_codepoint=255), max_size=20),
     st.sampled_from(["nan", "inf", "-1", "1e999", "1,2", "²,3", "Token ", "0" * 5000]),
 )
-HEADERS = st.lists(st.tuples(st.sampled_from(NAMES), TEXTS), max_size=8)
-VALUES = st.recursive(
+HEADERS = st.lists(st.tuples(st.sampled_from(HEADER_NAMES), HEADER_VALUES), max_size=8)
+JSON_VALUES = st.recursive(
     st.one_of(
         st.none(),
         st.booleans(),
@@ -74,7 +74,7 @@
             ]
         )
     )
-    part[data.draw(st.sampled_from(sorted(part)))] = data.draw(VALUES)
+    part[data.draw(st.sampled_from(sorted(part)))] = data.draw(JSON_VALUES)
     assert isinstance(decode_configuration(orjson.dumps(document)), Ok | Err)
 
 
@@ -85,22 +85,26 @@
 
 
 @given(
-    st.dictionaries(st.sampled_from(["service", "address", "zone", "layers"]), VALUES)
+    st.dictionaries(
+        st.sampled_from(["service", "address", "zone", "layers"]), JSON_VALUES
+    )
 )
 def test_any_row_of_a_target(fields):
     row = {"service": "s", "address": "a:1", "zone": "z", **fields}
     assert isinstance(decode_target("i-1", orjson.dumps(row), 1), Ok | Err)
 
 
-@given(VALUES)
+@given(JSON_VALUES)
 def test_any_settings(fields):
     assert list_faults(fields) or isinstance(fields, dict)
 
 
-REPORT_NAMES = ["layers", "busy", "sequence", "pace", "stalled"]
+REPORT_KEYS = ["layers", "busy", "sequence", "pace", "stalled"]
 
 
-@given(st.one_of(VALUES, st.dictionaries(st.sampled_from(REPORT_NAMES), VALUES)))
+@given(
+    st.one_of(JSON_VALUES, st.dictionaries(st.sampled_from(REPORT_KEYS), JSON_VALUES))
+)
 def test_any_report_of_an_engine(fields):
-    status = read_status(orjson.dumps(fields))
+    status = decode_report(orjson.dumps(fields))
     assert status is None or status.slowness > 0.0
--- a/marigoldswitch/tests/test_platform_headers.py
+++ b/marigoldswitch/tests/test_platform_headers.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers, translated both ways."""
+"""Headers of requests and answers, translated in both directions."""
 
 import pytest
 from multidict import CIMultiDict, CIMultiDictProxy
@@ -40,7 +40,7 @@
     return CODEC.write_headers(call, sending)
 
 
-def test_call_says_what_its_fields_hold():
+def test_call_headers_are_decoded():
     call = read(HEADERS).unwrap()
     assert (call.id, call.host, call.path) == ("9c41", "drafts.example", "/a?b=1")
     assert call.key == "secret"
@@ -48,7 +48,7 @@
     assert (call.prompt_tokens, call.answer_tokens) == (1460, 33)
 
 
-def test_target_gets_what_it_needs_and_nothing_forged():
+def test_forged_headers_are_replaced_or_dropped():
     headers = write(read(HEADERS).unwrap())
     assert headers["Deadline-Ms"] == "1500"
     assert headers.getall("Tenant") == ["workshop"]
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     "headers", [{"Deadline-Ms": "x"}, {"Deadline-Ms": "-1"}, {"Token-Usage": "many"}]
 )
-def test_malformed_heads_are_named(headers):
+def test_malformed_headers_are_refused(headers):
     assert isinstance(read({**HEADERS, **headers}), Err)
 
 
@@ -96,7 +96,7 @@
     assert not read_reply(503, {}).not_run
 
 
-def test_reply_of_a_target_is_known_by_its_mark():
+def test_reply_headers_are_decoded():
     facts = read_reply(200, {"Attempt-Id": "9c41", "Replica-Signature": "3e1b"})
     assert facts.is_signed and facts.request == "9c41"
     assert not read_reply(200, {}).is_signed
@@ -104,7 +104,7 @@
     assert read_reply(200, {"Replica-Load": "3,1,8"}).load == Load(3, 1)
 
 
-def test_refusal_tells_when_to_come_back():
+def test_refusal_sets_retry_after_and_attempt_id():
     headers = CODEC.write_refusal(read(HEADERS).unwrap(), 0.25)
     assert headers["Retry-After"] == "0.25"
     assert headers["Attempt-Id"] == "9c41"
--- a/marigoldswitch/tests/test_platform_settings.py
+++ b/marigoldswitch/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, checked and decoded."""
+"""Checks and decoding of the platform's settings file."""
 
 import orjson
 import pytest
@@ -45,9 +45,7 @@
     ("limits", "link_bytes"),
     [({"link_mbps": 20.0}, 2.5e6), ({"link_mbps": "fast"}, 125e6), (None, 125e6)],
 )
-def test_link_of_the_host_is_known_or_taken_for_a_usual_one(
-    tmp_path, limits, link_bytes
-):
+def test_link_speed_is_read_or_has_a_default(tmp_path, limits, link_bytes):
     settings, _ = read_settings(write(tmp_path, FIELDS | {"limits": limits})).unwrap()
     assert settings.link_bytes == link_bytes
 
@@ -67,7 +65,7 @@
     assert f"{name}: must be" in read.err_value
 
 
-def test_file_that_is_missing_or_no_json_is_named(tmp_path):
+def test_missing_or_malformed_file_is_reported(tmp_path):
     path = tmp_path / "none.json"
     assert str(path) in read_settings(path).err_value
     path.write_bytes(b"{")
--- a/marigoldswitch/tests/test_platform_store.py
+++ b/marigoldswitch/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Rows of our own in the platform's store."""
+"""Rows that hosts write about themselves in the platform's store."""
 
 import asyncio
 
@@ -13,13 +13,13 @@
 RECORD = HostRecord("10.0.0.1:8229", "north", 23)
 
 
-def test_host_finds_what_another_has_written_of_itself():
+def test_entered_host_is_listed():
     async def scenario():
         standin = StoreStandin()
         await standin.start()
         session = open_session(IDLE_SECONDS)
         store = PlatformStore(session, standin.address)
-        # A call that takes over 0.6 s is given up; hosts try again as well.
+        # A call times out after 0.6 s; hosts retry it as well.
         for _ in range(5):
             if (await store.enter(RECORD)).is_ok():
                 break
@@ -31,12 +31,12 @@
     assert asyncio.run(scenario()) == [RECORD]
 
 
-def test_row_of_a_host_of_before_names_its_data_centre():
+def test_row_with_only_a_data_centre_is_decoded():
     row = msgpack.packb("north")
     assert _decode_host("10.0.0.1:8229", row) == HostRecord("10.0.0.1:8229", "north")
 
 
 @pytest.mark.parametrize("value", [7, ["north"], ["north", "strong"], None])
-def test_row_that_is_none_of_a_host_is_refused(value):
+def test_malformed_host_row_is_refused(value):
     with pytest.raises((ValueError, TypeError)):
         _decode_host("10.0.0.1:8229", msgpack.packb(value))
--- a/marigoldswitch/tests/test_reports.py
+++ b/marigoldswitch/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""What the client of engines makes of their answers to a request for a report."""
+"""How the client of engines classifies the answers to a request for a report."""
 
 import asyncio
 
@@ -12,7 +12,10 @@
 
 
 async def read(handler, stop=False):
-    """Return what the client reads of a target that answers with a handler."""
+    """Return what the client makes of a target that answers with a handler.
+
+    :param stop: close the target's port before the client asks.
+    """
     server = TestServer(web.Application())
     server.app.router.add_get("/report", handler)
     await server.start_server()
@@ -30,7 +33,7 @@
     return web.Response(status=503)
 
 
-async def scribble(http):
+async def answer_other_text(http):
     return web.Response(text="no report")
 
 
@@ -38,12 +41,12 @@
     return web.json_response({"sequence": 4, "layers": {"from": 0, "target": 8}})
 
 
-@pytest.mark.parametrize("handler", [refuse, scribble])
-def test_answer_that_is_no_report_is_a_sign_of_life(handler):
+@pytest.mark.parametrize("handler", [refuse, answer_other_text])
+def test_answer_without_a_report_counts_as_alive(handler):
     assert asyncio.run(read(handler)) == EngineMute()
 
 
-def test_service_without_reports_says_so():
+def test_status_404_means_no_reports():
     async def miss(http):
         return web.Response(status=404)
 
@@ -56,5 +59,5 @@
     assert (status.sequence, status.layers.end) == (4, 8)
 
 
-def test_closed_port_says_that_the_process_has_ended():
+def test_refused_connection_means_that_the_process_has_ended():
     assert asyncio.run(read(report, stop=True)) == EngineGone()
