--- a/marigoldswitch/platform/daemon.py
+++ b/marigoldswitch/platform/daemon.py
@@ -103,7 +103,7 @@
                 self._host.use_settings(settings)
 
     def _read_file_state(self) -> tuple[int, int] | None:
-        """Return modification time in ns and size, or ``None`` if they can't be read."""
+        """Return modification time in ns and size; ``None`` if they can't be read."""
         try:
             stat = self._path.stat()
         except OSError:
