--- a/marigoldswitch/tests/test_claim_protocol.py
+++ b/marigoldswitch/tests/test_claim_protocol.py
@@ -1,9 +1,10 @@
-"""Claims under any interleaving: a request runs at most once, and "not run" is true.
+"""Tests of the claim protocol under arbitrary interleavings of hosts and faults.
 
-The machine plays several hosts that submit one key through the generators that the
-daemon runs too. It decides which host takes a step next, which replies are lost, which
-writes land late, which host is paused (it takes no step) or restarted, and what the
-target does.
+They check that a request runs at most once and that a fault which says "not run" is
+true. A state machine simulates several hosts that submit the same key through the
+generators that the daemon also uses. It chooses which host takes the next step, which
+replies are lost, which writes take effect late, which host is paused or restarted, and
+what the target does.
 """
 
 from dataclasses import dataclass, field
@@ -51,7 +52,7 @@
 
 
 class FakeTable:
-    """Rows with versions; a write takes effect whole or not at all."""
+    """In-memory table with row versions and atomic writes."""
 
     def __init__(self):
         self.rows = {}
@@ -73,7 +74,7 @@
 
 @dataclass
 class Submission:
-    """One submission of the key on its way through a host."""
+    """A submission of the key to one host, with the state of its generator."""
 
     host: FakeHost
     nonce: str
@@ -82,14 +83,14 @@
     free: Free | None = None
     held: Held | None = None
     end: object = None
-    ran: int = 0
-    over: bool = False
+    run_count: int = 0
+    finished: bool = False
     finishing: bool = False
 
 
-NUMBERS = st.integers(0, 11)
-HOW = st.sampled_from(["done"] * 5 + ["lost", "late", "out"])
-HOWS = st.lists(HOW, min_size=1, max_size=10)
+INDICES = st.integers(0, 11)
+DELIVERY = st.sampled_from(["done"] * 5 + ["lost", "late", "out"])
+DELIVERIES = st.lists(DELIVERY, min_size=1, max_size=10)
 
 
 def pick(number, items):
@@ -104,29 +105,29 @@
         self.now = 0.0
         self.nonces = 0
         self.runs = 0
-        self.all = []
+        self.submissions = []
         self.finishers = []
-        self.late = []
+        self.late_writes = []
         self.paused = set()
 
-    def list_awake(self):
+    def list_active(self):
         return [
             item
-            for item in self.all
-            if not item.over and item.host.name not in self.paused
+            for item in self.submissions
+            if not item.finished and item.host.name not in self.paused
         ]
 
-    def list_moving(self):
-        return [item for item in self.list_awake() if item.effect]
+    def list_pending(self):
+        return [item for item in self.list_active() if item.effect]
 
     def list_holding(self):
-        return [item for item in self.list_awake() if item.held]
+        return [item for item in self.list_active() if item.held]
 
     def list_given_up(self):
         return [
             item
-            for item in self.all
-            if item.over and item.host.own.is_forfeited(item.nonce)
+            for item in self.submissions
+            if item.finished and item.host.own.is_forfeited(item.nonce)
         ]
 
     def build_claim(self, host, nonce=None):
@@ -138,14 +139,14 @@
     @rule(name=st.sampled_from(HOSTS), times=st.integers(0, 5))
     def submit(self, name, times):
         submission = Submission(self.hosts[name], "")
-        self.all.append(submission)
+        self.submissions.append(submission)
         self.take(submission)
         if name not in self.paused:
-            self.move(submission, ["done"] * times)
+            self.run_steps(submission, ["done"] * times)
 
     @rule(name=st.sampled_from(HOSTS))
     def pause_or_wake(self, name):
-        """A paused host takes no step and answers nobody; it may wake late."""
+        """Pause or resume a host; while paused it takes no step and sends no reply."""
         self.paused ^= {name}
 
     def take(self, submission):
@@ -160,9 +161,9 @@
             submission.effect = submission.steps.send(reply)
         except StopIteration as stop:
             submission.effect = None
-            self.conclude(submission, stop.value)
+            self.handle_result(submission, stop.value)
 
-    def conclude(self, submission, result):
+    def handle_result(self, submission, result):
         host = submission.host
         match result:
             case Held():
@@ -183,7 +184,7 @@
 
     def close(self, submission, end):
         submission.end = end
-        submission.over = True
+        submission.finished = True
 
     def tell(self, owner, nonce):
         if owner in self.paused:
@@ -191,7 +192,7 @@
         return Told(*self.hosts[owner].own.tell(nonce))
 
     def perform(self, holder, how):
-        """Carry out one effect; return the reply, and a write that lands later."""
+        """Perform an effect; return its result and, if delayed, the write to apply."""
         match holder.effect, how:
             case Write(put=put), "done":
                 return self.table.write(put), None
@@ -213,35 +214,36 @@
                 return None, None
         raise AssertionError(holder.effect)
 
-    @precondition(lambda self: self.list_moving())
-    @rule(number=NUMBERS, hows=HOWS)
+    @precondition(lambda self: self.list_pending())
+    @rule(number=INDICES, hows=DELIVERIES)
     def step(self, number, hows):
-        self.move(pick(number, self.list_moving()), hows)
+        self.run_steps(pick(number, self.list_pending()), hows)
 
-    def move(self, submission, hows):
+    def run_steps(self, submission, hows):
         for how in hows:
-            if submission.effect is None or submission.over:
+            if submission.effect is None or submission.finished:
                 break
             reply, put = self.perform(submission, how)
             self.resume(submission, reply)
             if put is not None:
-                self.late.append(put)
+                self.late_writes.append(put)
 
-    @precondition(lambda self: self.late)
-    @rule(number=NUMBERS)
+    @precondition(lambda self: self.late_writes)
+    @rule(number=INDICES)
     def land(self, number):
-        put = pick(number, self.late)
-        self.late.remove(put)
+        """Apply a delayed write."""
+        put = pick(number, self.late_writes)
+        self.late_writes.remove(put)
         self.table.write(put)
 
     @precondition(lambda self: self.list_holding())
     @rule(
-        number=NUMBERS,
+        number=INDICES,
         end=st.sampled_from(["answer", "answer", "not_run", "cancel", "unknown"]),
         ran=st.booleans(),
     )
     def use(self, number, end, ran):
-        """The host sends the request under its claim, or gives the claim up."""
+        """Send the request under a held claim, or abandon the claim."""
         submission = pick(number, self.list_holding())
         held, host = submission.held, submission.host
         if end != "cancel":
@@ -249,7 +251,7 @@
         match end:
             case "answer":
                 self.runs += 1
-                submission.ran += 1
+                submission.run_count += 1
                 answer = f"answer of {held.claim.nonce}".encode()
                 host.own.end(held.claim.nonce, answer)
                 self.finish(host, held, held.claim.finish(answer, stored=False))
@@ -265,7 +267,7 @@
                 self.close(submission, Fault(ErrorKind.CANCELLED_IN_QUEUE))
             case "unknown":
                 self.runs += ran
-                submission.ran += ran
+                submission.run_count += ran
                 host.own.forget(held.claim.nonce)
                 self.finish(host, held, held.claim.give_up())
                 self.close(submission, Fault(ErrorKind.TARGET_LOST))
@@ -276,18 +278,18 @@
         finisher.effect = steps.send(None)
         self.finishers.append(finisher)
 
-    @precondition(lambda self: len(self.list_moving()) > 1)
-    @rule(number=NUMBERS)
+    @precondition(lambda self: len(self.list_pending()) > 1)
+    @rule(number=INDICES)
     def cancel(self, number):
-        """The caller goes away while the claim is taken or followed."""
-        submission = pick(number, self.list_moving())
+        """Cancel a submission while its claim is being acquired or followed."""
+        submission = pick(number, self.list_pending())
         submission.steps.close()
         self.close(submission, Fault(ErrorKind.CANCELLED_IN_QUEUE))
 
     @precondition(lambda self: self.list_given_up())
-    @rule(number=NUMBERS)
+    @rule(number=INDICES)
     def clean_up(self, number):
-        """The host marks a claim that it gave up, though it may not have landed."""
+        """Record that a claim is forfeited, although its row may not exist yet."""
         submission = pick(number, self.list_given_up())
         host = submission.host
         claim = self.build_claim(host, submission.nonce)
@@ -295,13 +297,13 @@
         self.finish(host, held, claim.forfeit(), version=None)
 
     @precondition(lambda self: self.finishers)
-    @rule(number=NUMBERS, hows=HOWS)
+    @rule(number=INDICES, hows=DELIVERIES)
     def step_finisher(self, number, hows):
         finisher = pick(number, self.finishers)
         for how in hows:
             reply, put = self.perform(finisher, how)
             if put is not None:
-                self.late.append(put)
+                self.late_writes.append(put)
             try:
                 finisher.effect = finisher.steps.send(reply)
             except StopIteration:
@@ -315,9 +317,9 @@
         self.hosts[name] = FakeHost(name, old.incarnation + 1)
         self.paused.discard(name)
         self.finishers = [item for item in self.finishers if item.host is not old]
-        for submission in self.all:
-            if submission.host is old and not submission.over:
-                submission.over = True
+        for submission in self.submissions:
+            if submission.host is old and not submission.finished:
+                submission.finished = True
                 submission.held = None
 
     @invariant()
@@ -326,14 +328,14 @@
 
     @invariant()
     def not_run_is_true(self):
-        for submission in self.all:
+        for submission in self.submissions:
             end = submission.end
             if isinstance(end, Fault) and end.not_run:
-                assert submission.ran == 0
+                assert submission.run_count == 0
 
     @invariant()
     def every_answer_is_the_one_answer(self):
-        ends = {item.end for item in self.all if isinstance(item.end, bytes)}
+        ends = {item.end for item in self.submissions if isinstance(item.end, bytes)}
         assert len(ends) <= 1
         if ends:
             assert self.runs == 1
@@ -343,8 +345,12 @@
 TestClaims.settings = settings(max_examples=300, stateful_step_count=40, deadline=None)
 
 
-def play(steps, table, own, peers=None, faults=()):
-    """Run a generator to its end; ``faults`` say what happens to its first writes."""
+def run_to_end(steps, table, own, peers=None, faults=()):
+    """Run a generator to its end.
+
+    :param peers: functions that answer a question about a nonce, by owner.
+    :param faults: faults of the first writes, in order: ``out``, ``late`` or ``lost``.
+    """
     faults = list(faults)
     clock = [0.0]
     reply = None
@@ -372,52 +378,58 @@
                 reply = None
 
 
-def claim_of(host, nonce, digest=DIGEST):
+def build_held_claim(host, nonce, digest=DIGEST):
     return Claim(host, 1, nonce, digest, ClaimState.HELD)
 
 
 @pytest.mark.parametrize("faults", [["lost"], ["late"], ["late", "late", "lost"]])
 def test_lost_reply_is_settled_by_reading_back(faults):
     table, own = FakeTable(), OwnClaims()
-    taken = play(take_claim(own, ROW, claim_of("a", "n")), table, own, faults=faults)
+    taken = run_to_end(
+        take_claim(own, ROW, build_held_claim("a", "n")), table, own, faults=faults
+    )
     assert isinstance(taken, Held)
     assert decode_claim(table.rows[ROW].value).nonce == "n"
 
 
 def test_claim_that_cannot_be_settled_is_given_up_and_may_be_taken_over():
     table, own = FakeTable(), OwnClaims()
-    steps = take_claim(own, ROW, claim_of("a", "n"))
-    taken = play(steps, table, own, faults=["late"] * 9)
+    steps = take_claim(own, ROW, build_held_claim("a", "n"))
+    taken = run_to_end(steps, table, own, faults=["late"] * 9)
     assert taken.kind is ErrorKind.CLAIMS_UNAVAILABLE
     with pytest.raises(InvariantBroken):
         own.send("n")
-    held = claim_of("a", "n")
+    held = build_held_claim("a", "n")
     late = Held(ROW, held, 1)
     table.rows[ROW] = Row(encode_claim(held), 1)
     other = OwnClaims()
-    met = play(take_claim(other, ROW, claim_of("b", "m")), table, other)
+    met = run_to_end(take_claim(other, ROW, build_held_claim("b", "m")), table, other)
     assert met == Met(ROW, late.claim, 1)
     peers = {"a": lambda nonce: Told(*own.tell(nonce))}
-    steps = follow_claim(met, claim_of("b", "m"), lambda: 0.0, 9.0, 3.0)
-    free = play(steps, table, other, peers)
+    steps = follow_claim(met, build_held_claim("b", "m"), lambda: 0.0, 9.0, 3.0)
+    free = run_to_end(steps, table, other, peers)
     assert free == Free("n", 1)
-    steps = take_claim(other, ROW, claim_of("b", "m"), free)
-    assert isinstance(play(steps, table, other), Held)
+    steps = take_claim(other, ROW, build_held_claim("b", "m"), free)
+    assert isinstance(run_to_end(steps, table, other), Held)
 
 
-def test_table_that_is_out_refuses_unsent():
+def test_unavailable_table_refuses_request_unsent():
     table, own = FakeTable(), OwnClaims()
-    steps = take_claim(own, ROW, claim_of("a", "n"))
-    taken = play(steps, table, own, faults=["out"])
+    steps = take_claim(own, ROW, build_held_claim("a", "n"))
+    taken = run_to_end(steps, table, own, faults=["out"])
     assert taken.not_run
     assert not table.rows
 
 
 def follow(told, after=None):
-    """Follow a claim of host ``a`` whose owner says ``told`` each time."""
+    """Follow a claim of host ``a``.
+
+    :param told: replies of the owner, in order; the last one is repeated.
+    :param after: called with the table after each question.
+    """
     table, own = FakeTable(), OwnClaims()
-    play(take_claim(own, ROW, claim_of("a", "n")), table, own)
-    met = Met(ROW, claim_of("a", "n"), 1)
+    run_to_end(take_claim(own, ROW, build_held_claim("a", "n")), table, own)
+    met = Met(ROW, build_held_claim("a", "n"), 1)
     now = iter(range(1000))
     replies = iter(told)
 
@@ -427,26 +439,28 @@
             after(table)
         return reply
 
-    steps = follow_claim(met, claim_of("b", "m"), lambda: next(now) / 10, 10.0, 3.0)
-    return play(steps, table, own, {"a": answer})
+    steps = follow_claim(
+        met, build_held_claim("b", "m"), lambda: next(now) / 10, 10.0, 3.0
+    )
+    return run_to_end(steps, table, own, {"a": answer})
 
 
-def test_owner_that_is_gone_leaves_the_outcome_unknown():
+def test_lost_owner_leaves_outcome_unknown():
     assert follow([None]).kind is ErrorKind.OUTCOME_UNKNOWN
     assert follow([Told(OwnerState.UNKNOWN)]).kind is ErrorKind.OUTCOME_UNKNOWN
 
 
-def test_owner_that_runs_is_waited_for_until_the_deadline():
+def test_running_owner_is_awaited_until_deadline():
     running = Told(OwnerState.RUNNING)
     assert follow([running]).kind is ErrorKind.DEADLINE_EXCEEDED
     ended = follow([running, running, Told(OwnerState.ENDED, b"1")])
     assert ended.claim.answer == b"1"
 
 
-def test_owner_that_finished_and_forgot_is_believed_from_the_row():
+def test_end_is_read_from_row_if_owner_has_forgotten_claim():
     def finish(table):
-        ended = claim_of("a", "n").finish(b"2", stored=False)
-        play(finish_claim(ROW, ended, 1), table, None)
+        ended = build_held_claim("a", "n").finish(b"2", stored=False)
+        run_to_end(finish_claim(ROW, ended, 1), table, None)
 
     ended = follow([Told(OwnerState.UNKNOWN)], finish)
     assert ended.claim.answer == b"2"
@@ -454,19 +468,21 @@
 
 def test_key_with_another_body_is_refused():
     table, own = FakeTable(), OwnClaims()
-    play(take_claim(own, ROW, claim_of("a", "n")), table, own)
-    taken = play(take_claim(own, ROW, claim_of("b", "m", "other")), table, own)
+    run_to_end(take_claim(own, ROW, build_held_claim("a", "n")), table, own)
+    taken = run_to_end(
+        take_claim(own, ROW, build_held_claim("b", "m", "other")), table, own
+    )
     assert taken.kind is ErrorKind.KEY_REUSED
 
 
 def test_sent_under_a_held_claim_only_and_once():
     own = OwnClaims()
-    own.begin(ROW, claim_of("a", "n"))
+    own.mark_taking(ROW, build_held_claim("a", "n"))
     with pytest.raises(InvariantBroken):
         own.send("n")
-    own.hold("n")
+    own.mark_held("n")
     own.send("n")
-    for forbidden in (own.send, own.forfeit, own.hold):
+    for forbidden in (own.send, own.forfeit, own.mark_held):
         with pytest.raises(InvariantBroken):
             forbidden("n")
 
@@ -474,18 +490,18 @@
 @pytest.mark.parametrize("version", [None, 1])
 def test_end_of_a_claim_never_replaces_one_that_took_over(version):
     table, own = FakeTable(), OwnClaims()
-    table.rows[ROW] = Row(encode_claim(claim_of("b", "m")), 2)
-    ended = claim_of("a", "n").forfeit()
-    assert not play(finish_claim(ROW, ended, version), table, own)
+    table.rows[ROW] = Row(encode_claim(build_held_claim("b", "m")), 2)
+    ended = build_held_claim("a", "n").forfeit()
+    assert not run_to_end(finish_claim(ROW, ended, version), table, own)
     assert decode_claim(table.rows[ROW].value).nonce == "m"
 
 
-def test_end_is_written_however_often_the_platform_fails():
+def test_end_is_written_despite_repeated_store_faults():
     table, own = FakeTable(), OwnClaims()
-    play(take_claim(own, ROW, claim_of("a", "n")), table, own)
-    ended = claim_of("a", "n").finish(b"1", stored=False)
+    run_to_end(take_claim(own, ROW, build_held_claim("a", "n")), table, own)
+    ended = build_held_claim("a", "n").finish(b"1", stored=False)
     faults = ["out", "late", "out", "late", "lost"]
-    assert play(finish_claim(ROW, ended, 1), table, own, faults=faults)
+    assert run_to_end(finish_claim(ROW, ended, 1), table, own, faults=faults)
     assert decode_claim(table.rows[ROW].value).state is ClaimState.DONE
     assert table.rows[ROW].version == 2
 
@@ -494,6 +510,6 @@
 def test_row_that_cannot_be_read_is_an_unknown_outcome(value):
     table, own = FakeTable(), OwnClaims()
     table.rows[ROW] = Row(value, 1)
-    taken = play(take_claim(own, ROW, claim_of("a", "n")), table, own)
+    taken = run_to_end(take_claim(own, ROW, build_held_claim("a", "n")), table, own)
     assert taken.kind is ErrorKind.OUTCOME_UNKNOWN
     assert table.rows[ROW] == Row(value, 1)
--- a/marigoldswitch/tests/test_ledger.py
+++ b/marigoldswitch/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger lets each token through once, in order, after every layer."""
+"""Tests that each token is delivered once, in order, after it passed every layer."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -30,7 +30,7 @@
         (LayerRange(0, 4), LayerRange(0, 4), LayerRange(4, 12)),
     ],
 )
-def test_wrong_layers_break_the_promise(layers):
+def test_wrong_layers_violate_invariant(layers):
     ledger = Ledger(12)
     ledger.open_epoch()
     with pytest.raises(InvariantBroken):
@@ -50,7 +50,7 @@
     assert ledger.admit(build_token(1, 2)) == []
 
 
-def test_token_missing_for_good_is_noticed_and_a_new_epoch_begins_anew():
+def test_lost_token_is_detected_and_new_epoch_starts_clean():
     ledger = Ledger(12)
     ledger.open_epoch()
     for position in range(1, REORDER_WINDOW + 3):
@@ -61,7 +61,7 @@
     assert len(ledger.admit(build_token(2, 0))) == 1
 
 
-def test_early_token_with_wrong_layers_breaks_the_promise():
+def test_early_token_with_wrong_layers_violates_invariant():
     ledger = Ledger(12)
     ledger.open_epoch()
     with pytest.raises(InvariantBroken):
@@ -69,7 +69,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(0, 5)), max_size=40))
-def test_what_is_delivered_is_a_run_without_repeats(tokens):
+def test_delivered_tokens_are_consecutive_without_repeats(tokens):
     ledger = Ledger(12)
     ledger.open_epoch()
     sent = []
--- a/marigoldswitch/tests/test_lifecycle.py
+++ b/marigoldswitch/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request has exactly one end, and "not run" is never said of what may have run."""
+"""Tests that a request ends exactly once and never as "not run" if it may have run."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -27,7 +27,7 @@
         life.end_with(Fault(ErrorKind.CANCELLED))
 
 
-def test_delivered_request_is_never_said_not_run():
+def test_delivered_request_is_never_reported_as_not_run():
     life = dispatch()
     with pytest.raises(InvariantBroken):
         life.end_with(Fault(ErrorKind.SATURATED))
--- a/marigoldswitch/tests/test_recovery.py
+++ b/marigoldswitch/tests/test_recovery.py
@@ -1,11 +1,11 @@
-"""Which stages a broken chain loses, and when a silent stream counts as stalled."""
+"""Tests of fault localization in broken chains and of the stall timeouts."""
 
 import pytest
 from hypothesis import given, strategies as st
 
 from marigoldswitch.core.chains import can_serve
 from marigoldswitch.core.diagnosis import StageStatus, find_suspects
-from marigoldswitch.core.progress import DOUBT_FLOOR, Progress
+from marigoldswitch.core.progress import MIN_CHECK_SECONDS, Progress
 from marigoldswitch.tests.helpers import BOOKINGS, DRAFTING, build_target
 
 CHAIN = ["a", "b", "c"]
@@ -24,7 +24,7 @@
         ([(5, 5), (5, 5), (5, 5)], ()),
     ],
 )
-def test_suspects_are_the_stages_that_hold_the_token_up(statuses, suspects):
+def test_suspects_are_the_stages_that_withhold_the_token(statuses, suspects):
     known = [StageStatus(*item) if item else None for item in statuses]
     assert find_suspects(CHAIN, known) == suspects
 
@@ -47,13 +47,15 @@
 
 
 @given(st.floats(0.001, 0.4), st.integers(2, 50))
-def test_patience_follows_the_usual_gap_between_its_bounds(gap, tokens):
-    progress = Progress(first=5.0, factor=10.0, floor=0.5)
+def test_stall_timeout_follows_mean_gap_within_bounds(gap, tokens):
+    progress = Progress(
+        first_token_timeout=5.0, stall_factor=10.0, min_stall_timeout=0.5
+    )
     assert progress.patience == progress.doubt == 5.0
     for number in range(tokens):
         progress.note(number * gap, 1)
-    assert progress.usual == pytest.approx(gap)
+    assert progress.mean_gap == pytest.approx(gap)
     assert progress.patience == pytest.approx(min(5.0, max(0.5, 10.0 * gap)))
-    assert DOUBT_FLOOR <= progress.doubt <= progress.patience
+    assert MIN_CHECK_SECONDS <= progress.doubt <= progress.patience
     progress.begin()
     assert progress.patience == 5.0
