--- a/marigoldswitch/tests/test_claim_protocol.py
+++ b/marigoldswitch/tests/test_claim_protocol.py
@@ -191,9 +191,9 @@
             return None
         return Told(*self.hosts[owner].own.tell(nonce))
 
-    def perform(self, holder, how):
+    def perform(self, holder, delivery):
         """Perform an effect; return its result and, if delayed, the write to apply."""
-        match holder.effect, how:
+        match holder.effect, delivery:
             case Write(put=put), "done":
                 return self.table.write(put), None
             case Write(put=put), "lost":
@@ -215,15 +215,15 @@
         raise AssertionError(holder.effect)
 
     @precondition(lambda self: self.list_pending())
-    @rule(number=INDICES, hows=DELIVERIES)
-    def step(self, number, hows):
-        self.run_steps(pick(number, self.list_pending()), hows)
+    @rule(number=INDICES, deliveries=DELIVERIES)
+    def step(self, number, deliveries):
+        self.run_steps(pick(number, self.list_pending()), deliveries)
 
-    def run_steps(self, submission, hows):
-        for how in hows:
+    def run_steps(self, submission, deliveries):
+        for delivery in deliveries:
             if submission.effect is None or submission.finished:
                 break
-            reply, put = self.perform(submission, how)
+            reply, put = self.perform(submission, delivery)
             self.resume(submission, reply)
             if put is not None:
                 self.late_writes.append(put)
@@ -297,11 +297,11 @@
         self.finish(host, held, claim.forfeit(), version=None)
 
     @precondition(lambda self: self.finishers)
-    @rule(number=INDICES, hows=DELIVERIES)
-    def step_finisher(self, number, hows):
+    @rule(number=INDICES, deliveries=DELIVERIES)
+    def step_finisher(self, number, deliveries):
         finisher = pick(number, self.finishers)
-        for how in hows:
-            reply, put = self.perform(finisher, how)
+        for delivery in deliveries:
+            reply, put = self.perform(finisher, delivery)
             if put is not None:
                 self.late_writes.append(put)
             try:
