--- a/marigoldswitch/tests/test_membership.py
+++ b/marigoldswitch/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership on a virtual clock, over a network that loses and repeats datagrams."""
+"""Tests of membership and leaving marks, on a virtual clock and a lossy network."""
 
 from dataclasses import replace
 from random import Random
@@ -21,7 +21,7 @@
     encode_datagram,
 )
 from marigoldswitch.core.ids import BundleVersion, HostId, Incarnation, TargetId
-from marigoldswitch.core.leaving import HOLDS_SECONDS, LeavingMarks
+from marigoldswitch.core.leaving import MARK_TTL_SECONDS, LeavingMarks
 from marigoldswitch.core.member_events import (
     Changed,
     Heard,
@@ -61,8 +61,8 @@
     return network
 
 
-def list_seen(network: Network, of: str) -> set[Status | None]:
-    """Return how a host is seen by the others that are up."""
+def list_statuses(network: Network, of: str) -> set[Status | None]:
+    """Return the statuses that the other running hosts have for a host."""
     seen = set()
     for name, host in network.hosts.items():
         if name not in network.down and name != of:
@@ -82,28 +82,30 @@
     assert all(len(host.list_live()) == HOSTS - 1 for host in network.hosts.values())
 
 
-def test_lost_host_is_dead_everywhere_and_back_under_a_new_address():
+def test_lost_host_is_dead_everywhere_and_returns_at_a_new_address():
     network = build_network()
     network.fill_tables()
     network.run(5.0)
     network.down.add(HostId("host-003"))
     network.run(20.0)
-    assert list_seen(network, "host-003") == {Status.DEAD}
+    assert list_statuses(network, "host-003") == {Status.DEAD}
     old = network.hosts[HostId("host-003")].own
     own = replace(old, run=99, peers="moved", incarnation=Incarnation(7))
-    fresh = Membership(own, Random(5), 0.5, network.now)
-    network.hosts[own.host] = fresh
+    restarted = Membership(own, Random(5), 0.5, network.now)
+    network.hosts[own.host] = restarted
     network.down.clear()
     seed = network.hosts[HostId("host-000")]
     network.carry(seed.own.host, seed.handle(Introduced((own,)), network.now))
     network.run(30.0)
-    assert list_seen(network, "host-003") == {Status.ALIVE}
-    assert {h.table[own.host].peers for h in network.hosts.values() if h is not fresh}
-    assert len(fresh.list_live()) == HOSTS - 1
+    assert list_statuses(network, "host-003") == {Status.ALIVE}
+    assert {
+        h.table[own.host].peers for h in network.hosts.values() if h is not restarted
+    }
+    assert len(restarted.list_live()) == HOSTS - 1
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_nobody_is_declared_dead_at_thirty_percent_loss(seed):
+def test_no_host_is_declared_dead_at_thirty_percent_loss(seed):
     network = build_network(loss=0.3, seed=seed)
     network.fill_tables()
     network.run(60.0)
@@ -112,7 +114,7 @@
     assert sum(host.counts["suspected"] for host in network.hosts.values()) > 0
 
 
-def test_cut_hosts_go_on_by_themselves_and_are_live_again_after_healing():
+def test_partitions_stay_live_separately_and_merge_after_healing():
     network = build_network()
     network.fill_tables()
     network.run(5.0)
@@ -148,7 +150,7 @@
     return Membership(build_record("host-1", run=11, incarnation=5), Random(1), 0.5, 0)
 
 
-def test_wrong_word_about_oneself_is_refuted_and_nothing_repeats_it():
+def test_wrong_record_of_own_host_is_refuted_once():
     host = build_host()
     host.handle(Introduced((build_record("host-2"),)), 1.0)
     suspect = replace(host.own, status=Status.SUSPECT, suspected_by=HostId("host-2"))
@@ -178,12 +180,12 @@
     assert host.table == before
 
 
-def test_wrong_addresses_and_taken_names_are_dropped_and_counted():
+def test_wrong_addresses_and_duplicate_names_are_dropped_and_counted():
     host = build_host()
     stranger = Sender(HostId("host-9"), 1, Incarnation(1))
     assert host.handle(Heard(Ping(stranger, HostId("host-4"), 1, 0), "a:1"), 1.0) == []
-    twin = Sender(HostId("host-1"), 12, Incarnation(9))
-    assert host.handle(Heard(Ping(twin, host.own.host, 1, 0), "a:1"), 1.0) == []
+    duplicate = Sender(HostId("host-1"), 12, Incarnation(9))
+    assert host.handle(Heard(Ping(duplicate, host.own.host, 1, 0), "a:1"), 1.0) == []
     assert host.counts["wrong_address"] == 1
     assert host.counts["duplicate_name"] == 1
     later = build_record("host-1", run=12, incarnation=9)
@@ -198,7 +200,7 @@
     assert host.own.incarnation == 71
 
 
-def test_own_pause_is_held_against_nobody():
+def test_own_pause_makes_no_host_suspect():
     host = build_host()
     host.handle(Introduced((build_record("host-2"), build_record("host-3"))), 0.0)
     for tenth in range(8):
@@ -209,7 +211,7 @@
     assert {item.status for item in host.table.values()} == {Status.ALIVE}
 
 
-def test_host_list_makes_nobody_live_but_is_used_to_join():
+def test_host_list_makes_no_host_live_but_is_used_to_join():
     host = build_host()
     actions = host.handle(Listed((HostId("host-1"), HostId("host-2"))), 1.0)
     assert actions == [Introduce(HostId("host-2"), wants_reply=True)]
@@ -219,7 +221,7 @@
     assert host.handle(Listed((HostId("host-2"),)), 2.0) == []
 
 
-def test_datagrams_keep_their_bound_and_come_back_whole():
+def test_datagrams_stay_within_size_limit_and_round_trip():
     host = Membership(build_record("host-1"), Random(1), 0.5, 0.0)
     everyone = tuple(build_record(f"host-{n}", run=2**32 - 1) for n in range(2, 200))
     actions = host.handle(Introduced(everyone), 0.0)
@@ -238,7 +240,7 @@
 
 
 @given(st.binary(max_size=200) | VALUES.map(msgpack.packb))
-def test_garbage_is_refused_and_raises_nothing(payload):
+def test_malformed_payload_is_refused_without_exception(payload):
     decoded = decode_datagram(payload)
     assert decoded.is_err() or isinstance(decoded.unwrap().sender, Sender)
 
@@ -246,7 +248,7 @@
 ENGINE = TargetId("engine-1")
 
 
-def test_target_leaves_by_any_source_until_every_source_has_taken_it_back():
+def test_target_is_leaving_until_every_source_withdraws_its_mark():
     marks = LeavingMarks(1000.0)
     marks.take_host_list([ENGINE], [], 0.0)
     marks.take_answer(ENGINE, 1.0)
@@ -260,15 +262,15 @@
     assert marks.list_leaving(5.0) == frozenset()
 
 
-def test_lagging_host_list_does_not_take_an_answer_back():
+def test_lagging_host_list_does_not_withdraw_an_answer():
     marks = LeavingMarks(1000.0)
     marks.take_answer(ENGINE, 1.0)
     assert marks.take_host_list([], [ENGINE], 2.0) == []
     assert marks.list_leaving(2.0) == {ENGINE}
-    assert marks.list_leaving(1.0 + HOLDS_SECONDS[MarkSource.ANSWER]) == frozenset()
+    assert marks.list_leaving(1.0 + MARK_TTL_SECONDS[MarkSource.ANSWER]) == frozenset()
 
 
-def test_marks_that_cross_end_the_same_on_both_hosts():
+def test_concurrent_marks_converge_on_both_hosts():
     one, two = LeavingMarks(1000.0), LeavingMarks(1000.0)
     left = one.take_order(ENGINE, True, 0.0)
     back = two.take_order(ENGINE, False, 0.0)
