--- a/marigoldswitch/tests/test_membership.py
+++ b/marigoldswitch/tests/test_membership.py
@@ -61,14 +61,14 @@
     return network
 
 
-def list_statuses(network: Network, of: str) -> set[Status | None]:
+def list_statuses(network: Network, subject: str) -> set[Status | None]:
     """Return the statuses that the other running hosts have for a host."""
-    seen = set()
+    statuses = set()
     for name, host in network.hosts.items():
-        if name not in network.down and name != of:
-            record = host.table.get(HostId(of))
-            seen.add(record.status if record else None)
-    return seen
+        if name not in network.down and name != subject:
+            record = host.table.get(HostId(subject))
+            statuses.add(record.status if record else None)
+    return statuses
 
 
 def test_hosts_that_know_one_seed_find_each_other():
@@ -272,10 +272,10 @@
 
 def test_concurrent_marks_converge_on_both_hosts():
     one, two = LeavingMarks(1000.0), LeavingMarks(1000.0)
-    left = one.take_order(ENGINE, True, 0.0)
-    back = two.take_order(ENGINE, False, 0.0)
-    assert one.merge(back, 0.1) == []
-    assert two.merge(left, 0.1) == left
+    drained = one.take_order(ENGINE, True, 0.0)
+    withdrawn = two.take_order(ENGINE, False, 0.0)
+    assert one.merge(withdrawn, 0.1) == []
+    assert two.merge(drained, 0.1) == drained
     assert one.list_leaving(0.2) == two.list_leaving(0.2) == {ENGINE}
     late = TargetMark(ENGINE, MarkSource.ORDER, 1, False, 1e9)
     assert one.merge([late], 0.3) == []
