--- a/marigoldswitch/tests/test_dispatcher.py
+++ b/marigoldswitch/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher grants what there is room for and forgets nothing."""
+"""Tests of the dispatcher: grants, deadlines, cancellation and lost hosts."""
 
 import itertools
 
--- a/marigoldswitch/tests/test_dispatcher_machine.py
+++ b/marigoldswitch/tests/test_dispatcher_machine.py
@@ -1,4 +1,4 @@
-"""The dispatcher under any order of events: limits, one answer an ask, nothing lost."""
+"""Stateful test of the dispatcher: any order of events, each ask answered once."""
 
 import itertools
 from collections import Counter
@@ -41,7 +41,7 @@
 
 
 class DispatcherMachine(RuleBasedStateMachine):
-    """Fronts that ask, cancel, release, lose messages and die; targets that change."""
+    """Fronts that ask, cancel, release, lose messages and fail; targets that change."""
 
     def __init__(self):
         super().__init__()
@@ -209,15 +209,15 @@
         for name, state in self.dispatcher.pool.states.items():
             assert state.held == held[name]
         long = sum(item.long for item in self.dispatcher.permits.values())
-        assert self.dispatcher.out.long == long
+        assert self.dispatcher.occupancy.long == long
         cost = sum(item.cost for item in self.dispatcher.permits.values())
-        assert self.dispatcher.out.cost == pytest.approx(cost, abs=1e-6)
+        assert self.dispatcher.occupancy.cost == pytest.approx(cost, abs=1e-6)
 
     def teardown(self):
         for front in FRONTS:
             self.feed(HostLost(front))
         assert not self.dispatcher.permits
-        assert self.dispatcher.out.cost == 0.0
+        assert self.dispatcher.occupancy.cost == 0.0
         assert all(item.held == 0 for item in self.dispatcher.pool.states.values())
 
 
--- a/marigoldswitch/tests/test_limits.py
+++ b/marigoldswitch/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits find what each kind of target can hold, and stay within their bounds."""
+"""Tests of the limits: they adapt to each kind of target and stay within bounds."""
 
 import random
 import statistics
@@ -13,7 +13,7 @@
 
 
 def play_load(limiter, capacity, answers, load=1.0, seed=1, slowness=1.0):
-    """Answer as a target whose latency grows once it holds more than its capacity.
+    """Simulate a target whose latency grows once it holds more than its capacity.
 
     :returns: the median limit over the last half of the answers.
     """
@@ -96,7 +96,7 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Any order of answers, refusals and failures."""
+    """Answers, refusals, failures, probes and changes of slots in any order."""
 
     def __init__(self):
         super().__init__()
--- a/marigoldswitch/tests/test_pool.py
+++ b/marigoldswitch/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool: learned speeds, slow starts, ejection, prefixes, implausible lists."""
+"""Tests of the pool: speeds, slow starts, ejection, prefixes, implausible lists."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -36,7 +36,7 @@
 
 
 def count_room(pool, now, ask=None):
-    """Take permits until nothing has room; return how many each target got."""
+    """Hold permits until no target has room; return how many each target got."""
     taken = []
     while (route := pool.choose(ask or build_ask("r"), now)) is not None:
         pool.hold(route.targets)
@@ -49,7 +49,7 @@
     pool = build_pool("a", "b", "c")
     for number in range(60):
         name = "abc"[number % 3]
-        pool.note_run((name,), 8.0 if name == "b" else 2.0, 1.0, number * 0.1)
+        pool.record_run((name,), 8.0 if name == "b" else 2.0, 1.0, number * 0.1)
     routes = []
     for _ in range(17):
         route = pool.choose(build_ask("r"), 10.0)
@@ -78,7 +78,7 @@
             stages[1][number // 3 % 3],
             stages[2][number // 9 % 3],
         )
-        pool.note_run(chain, 6.0 if "s11" in chain else 3.0, 1.0, number * 0.01)
+        pool.record_run(chain, 6.0 if "s11" in chain else 3.0, 1.0, number * 0.01)
     seconds = {name: pool.rates.get_seconds(name) for row in stages for name in row}
     others = [value for name, value in seconds.items() if name != "s11"]
     assert seconds["s11"] > 2.0 * max(others)
@@ -152,19 +152,19 @@
 
 def test_a_target_that_no_view_shows_is_not_used():
     pool = build_pool("a", "b", "c", "d")
-    pool.use_list(frozenset("cd"))
+    pool.apply_host_list(frozenset("cd"))
     assert set(count_room(pool, 1.0)) == set("abcd")
     succeed(pool, "b", 20.0)
     assert set(count_room(pool, 2.0 + UNLISTED_SECONDS)) == set("bcd")
     assert set(count_room(pool, 21.0 + UNLISTED_SECONDS)) == set("cd")
-    pool.use_list(frozenset("abcd"))
+    pool.apply_host_list(frozenset("abcd"))
     assert set(count_room(pool, 22.0 + UNLISTED_SECONDS)) == set("abcd")
 
 
 @pytest.mark.parametrize("names", [frozenset(), frozenset("a")])
 def test_an_implausible_list_does_not_empty_the_pool(names):
     pool = build_pool("a", "b", "c", "d")
-    pool.use_list(names)
+    pool.apply_host_list(names)
     assert pool.distrusts_list
     assert set(count_room(pool, 1000.0)) == set("abcd")
 
@@ -232,7 +232,9 @@
     ]
     pool.replace_targets(targets, leaving, held)
     found = pool.choose(build_ask("r"), 0.0)
-    whole = choose_route(DRAFTING, pool.states.values(), HOBART, {}, (), pool._weigh)
+    whole = choose_route(
+        DRAFTING, pool.states.values(), HOBART, {}, (), pool._estimate_cost
+    )
     assert (found is None) == (whole is None)
     if found is not None:
         assert found.cost == pytest.approx(whole.cost)
--- a/marigoldswitch/tests/test_queueing.py
+++ b/marigoldswitch/tests/test_queueing.py
@@ -1,4 +1,4 @@
-"""The queue loses nothing, is fair among accounts and starves no class."""
+"""Tests of the queue: no lost requests, fairness among accounts, no starvation."""
 
 from collections import Counter
 
@@ -91,7 +91,7 @@
 
 
 def test_memory_is_bounded_and_small_accounts_still_get_in(monkeypatch):
-    monkeypatch.setattr(queueing, "MOST_WAITING", 100)
+    monkeypatch.setattr(queueing, "MAX_WAITING", 100)
     queue = FairQueue()
     for number in range(1000):
         for account in ("heavy", "heavy", "light"):
@@ -104,7 +104,7 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """The queue beside a plain map of what must be waiting."""
+    """Compares the queue with a dictionary of the requests that must be waiting."""
 
     def __init__(self):
         super().__init__()
