--- a/marigoldswitch/core/bounds.py
+++ b/marigoldswitch/core/bounds.py
@@ -1,9 +1,9 @@
-"""How many requests the engines of a data centre could carry under any layout.
+"""Upper bound on the load that the engines of a data centre can carry under any layout.
 
 A request holds memory for its context at each layer until its last token. Each layer's
-weights stand in memory once at least, so that the rest of all memory, divided by the
-layers, bounds the context that is in flight. By Little's law the bound on requests a
-second is that context over what one request takes of it for as long as it lasts.
+weights are in memory at least once, so that the remaining memory, divided by the number
+of layers, bounds the context in flight. By Little's law the bound on requests a second
+is that context divided by the context of one request and by its duration.
 """
 
 from collections.abc import Sequence
@@ -13,14 +13,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CarriedLoad:
-    """What some engines could carry at the most.
-
-    :param tokens: context in flight; no layout has memory for more.
-    :param seconds: that a request lasts on engines that do nothing else, if each holds
-        layers by its memory.
-    :param rate: requests a second, from both; with a faster layout it could be more by
-        as much as that is faster, under load it is less.
+class LoadBound:
+    """Upper bound on the load of a set of engines.
+
+    :param tokens: most context in flight, in tokens; no layout has memory for more.
+    :param seconds: duration of a request on otherwise idle engines that hold layers in
+        proportion to their memory.
+    :param rate: requests a second, derived from both. A layout with a shorter duration
+        allows proportionally more; under load it is less.
     """
 
     tokens: float
@@ -33,20 +33,22 @@
     engines: Sequence[Accelerator],
     prompt_tokens: float,
     answer_tokens: float,
-) -> CarriedLoad:
-    """Return what engines could carry of requests of one size.
+) -> LoadBound:
+    """Return the bound for requests of one size.
 
     :param engines: the accelerator of each engine.
+    :param prompt_tokens: tokens in the prompt of a request.
+    :param answer_tokens: tokens in its answer.
     """
     memory = sum(item.memory_mb for item in engines)
-    each = memory / model.layers
-    tokens = max(0.0, (each - model.layer_mb) / model.token_layer_mb)
+    memory_per_layer = memory / model.layers
+    tokens = max(0.0, (memory_per_layer - model.layer_mb) / model.token_layer_mb)
     if tokens == 0.0:
-        return CarriedLoad(0.0, float("inf"), 0.0)
-    step = sum(item.memory_mb * item.step_factor for item in engines) / memory
-    read = sum(item.memory_mb * item.read_factor for item in engines) / memory
-    seconds = answer_tokens * model.step_seconds * step
-    seconds += prompt_tokens * model.read_seconds * read
-    return CarriedLoad(
+        return LoadBound(0.0, float("inf"), 0.0)
+    step_factor = sum(item.memory_mb * item.step_factor for item in engines) / memory
+    read_factor = sum(item.memory_mb * item.read_factor for item in engines) / memory
+    seconds = answer_tokens * model.step_seconds * step_factor
+    seconds += prompt_tokens * model.read_seconds * read_factor
+    return LoadBound(
         tokens, seconds, tokens / (prompt_tokens + answer_tokens) / seconds
     )
--- a/marigoldswitch/tests/test_bounds.py
+++ b/marigoldswitch/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""No layout has memory for more than the bound says; the tool shows the bound."""
+"""No layout has memory for more context than the bound; the tool prints the bound."""
 
 import subprocess
 import sys
@@ -31,7 +31,7 @@
 
 
 def test_bound_of_a_data_centre_by_hand():
-    # 288,000 MB over 80 layers: 3,600 each, 1,750 for weights.
+    # 288,000 MB over 80 layers: 3,600 MB each, of which weights take 1,750 MB.
     engines = ["large"] + 6 * ["quick"] + 6 * ["small"]
     load = bound_load(MODEL, [KINDS[kind] for kind in engines], 774.0, 210.0)
     assert load.tokens == pytest.approx((3600 - 1750) / 0.02295)
--- a/marigoldswitch/tests/test_ownership.py
+++ b/marigoldswitch/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Each target has one home, pools serve whole requests, all hosts agree on both."""
+"""Each target has one home pool, pools serve whole requests, and all hosts agree."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -7,7 +7,7 @@
 from marigoldswitch.core.chains import can_serve
 from marigoldswitch.core.errors import ErrorKind
 from marigoldswitch.core.messages import Deny
-from marigoldswitch.core.ownership import PoolKey, Topology, assign_homes
+from marigoldswitch.core.ownership import PoolKey, Topology, assign_home_pools
 from marigoldswitch.core.shares import split_targets
 from marigoldswitch.core.spill import SpillPlan, plan_spill
 from marigoldswitch.tests.helpers import BOOKINGS, DRAFTING, build_target
@@ -43,10 +43,10 @@
         build_target(f"t{n}", layers, data_centre=place)
         for n, (place, layers) in enumerate(items)
     ]
-    homes = assign_homes(DRAFTING, targets, LINKS)
+    homes = assign_home_pools(DRAFTING, targets, LINKS)
     shuffled = list(targets)
     chance.shuffle(shuffled)
-    assert assign_homes(DRAFTING, shuffled, LINKS) == homes
+    assert assign_home_pools(DRAFTING, shuffled, LINKS) == homes
     assert set(homes) == {target.id for target in targets}
     pools = {
         home: [target for target in targets if homes[target.id] == home]
--- a/marigoldswitch/tests/test_placement.py
+++ b/marigoldswitch/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement and the lease: who may order, what is ordered, and how little at once."""
+"""Placement steps and the lease of the host that may send orders."""
 
 import pytest
 from hypothesis import settings, strategies as st
@@ -38,7 +38,7 @@
     SendOrder,
     Wait,
     plan_placement,
-    want_placement,
+    get_desired_placement,
 )
 from marigoldswitch.core.ports import Row
 from marigoldswitch.core.upgrades import find_upgrade_faults
@@ -78,14 +78,14 @@
 
 def hold(bundle, name, **changes):
     target = bundle.targets[name]
-    placement = want_placement(bundle.services["drafting"], target)
+    placement = get_desired_placement(bundle.services["drafting"], target)
     report = EngineReport(placement, placement, 0)
     fields = {"wanted": report.wanted, "loaded": report.loaded, "busy": 0} | changes
     return EngineReport(**fields)
 
 
 def plan(bundle, reports, drains=None, budget=None, now=0.0, changes=2):
-    limits = PlacementLimits(changes, settle=8.0)
+    limits = PlacementLimits(changes, settle_seconds=8.0)
     budget = budget or LoadBudget(99)
     return plan_placement(bundle, TAS, reports, drains or {}, limits, budget, now)
 
@@ -114,7 +114,7 @@
         drains = {"e0-0": DrainMark(True, age), "e0-1": DrainMark(True, 0.0)}
         return plan(new, reports | {"e0-0": report}, drains)[0]
 
-    wanted = want_placement(new.services["drafting"], new.targets["e0-0"])
+    wanted = get_desired_placement(new.services["drafting"], new.targets["e0-0"])
     assert plan_first(hold(old, "e0-0"), 7.9).reason is Reason.SETTLING
     assert plan_first(hold(old, "e0-0", busy=1), 8.0).reason is Reason.BUSY
     assert plan_first(hold(old, "e0-0"), 8.0) == SendOrder("e0-0", wanted)
@@ -149,7 +149,7 @@
     assert "only 1 whole chain(s)" in find_upgrade_faults(old, fewer)[0]
 
 
-def test_lease_passes_on_only_after_it_has_stood_still():
+def test_lease_is_taken_over_only_after_it_was_not_renewed():
     one, two = Lease("h1", "a", TERMS), Lease("h2", "b", TERMS)
     one.see(None, 0.0)
     first = one.plan_claim(0.0)
@@ -191,7 +191,7 @@
 
 
 class FakeEngine:
-    """An engine that loads at once, or on its own time."""
+    """An engine that stays in loading until the test ends the load."""
 
     def __init__(self, placement, checks):
         self.wanted = self.loaded = placement
@@ -211,21 +211,21 @@
 
 
 class Pause:
-    """Gives way to the machine: another holder may run before this one goes on."""
+    """Yields to the state machine: the other holder may run before this one resumes."""
 
     def __await__(self):
         yield
 
 
 class FakeEngines:
-    """Orders that are on their way for a while and may lose their answer."""
+    """Sends orders that arrive after a pause and whose answers may be lost."""
 
     def __init__(self, world, holder):
         self.world = world
         self.holder = holder
         self.engines = world.engines
         self.lost = world.lost
-        self.on_way = 0
+        self.in_flight = 0
 
     async def read_all(self, targets):
         await Pause()
@@ -244,9 +244,9 @@
         row = decode_lease(self.world.platform.rows["leases", TAS].value)
         assert row.fencing == fencing, "sent without the lease"
         assert self.world.numbers.setdefault(fencing, self.holder) is self.holder
-        self.on_way += 1
+        self.in_flight += 1
         await Pause()
-        self.on_way -= 1
+        self.in_flight -= 1
         end = self.engines[target.id].take(placement, fencing)
         if self.lost:
             self.lost.pop()
@@ -255,7 +255,7 @@
 
 
 class SlowPlatform(FakePlatform):
-    """Each call gives way before and after its effect."""
+    """Pauses before each call takes effect, and also after a transaction."""
 
     async def read(self, table, key):
         await Pause()
@@ -276,7 +276,7 @@
 
 
 class Holder:
-    """One host's orderer, run step by step."""
+    """One host's orderer, advanced from pause to pause."""
 
     def __init__(self, world, name):
         self.adoption = Adoption()
@@ -294,7 +294,7 @@
         self.work = None
 
     def step(self):
-        """Run until the next pause; tell whether a whole tick has ended."""
+        """Run until the next pause; return whether a tick has ended."""
         if self.work is None:
             self.work = self.orderer.tick()
         try:
@@ -310,7 +310,7 @@
 
 
 class TwoHolders(RuleBasedStateMachine):
-    """Two hosts that may both believe they hold the lease, paused at any point."""
+    """Two hosts that may both believe they hold the lease and may pause anywhere."""
 
     checks = True
 
@@ -324,7 +324,7 @@
         self.bundle = self.build(1)
         service = self.bundle.services["drafting"]
         self.engines = {
-            name: FakeEngine(want_placement(service, target), self.checks)
+            name: FakeEngine(get_desired_placement(service, target), self.checks)
             for name, target in self.bundle.targets.items()
         }
         self.holders = [Holder(self, "h0"), Holder(self, "h1")]
@@ -334,12 +334,12 @@
         self.healed = None
 
     def build(self, version):
-        """Return a bundle in which both the floor and the limit of changes bind."""
+        """Return a bundle for which the floor and the limit of changes both matter."""
         return build_bundle(version, (f"a{version}",), floor=2, ranges=THIRDS)
 
     @rule(which=st.integers(0, 1), ticks=st.integers(8, 14), steps=st.integers(1, 14))
     def stand_still(self, which, ticks, steps):
-        """A host stands still within a tick while the other goes on."""
+        """Pause a host within a tick while the other one runs."""
         run_ticks(self, self.holders[which], ticks)
         self.run(which, steps)
         run_ticks(self, self.holders[1 - which], 15)
@@ -352,7 +352,7 @@
 
     @rule(which=st.integers(0, 1), ticks=st.integers(1, 15))
     def work(self, which, ticks):
-        """Let one host work in peace, so that runs reach what comes late."""
+        """Let one host run undisturbed, so that examples reach later stages."""
         run_ticks(self, self.holders[which], ticks)
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 2.0, 4.0, 8.0, 11.0]))
@@ -369,7 +369,7 @@
     @precondition(lambda self: self.bundle.version < 6)
     @rule(which=st.integers(0, 1))
     def change_bundle(self, which):
-        """A new bundle, known to one host first."""
+        """Publish a new bundle that only one host knows at first."""
         version = self.bundle.version + 1
         self.bundle = self.build(version)
         self.holders[which].adoption.adopt(self.bundle)
@@ -420,7 +420,7 @@
         assert all(item.cut_off == 0 for item in self.engines.values())
 
     def heal(self):
-        """Let one holder work in peace; return the seconds until all is as wanted."""
+        """Run one holder undisturbed; return the seconds to reach the desired state."""
         holder = Holder(self, "last")
         holder.adoption.adopt(self.bundle)
         self.platform.lose, self.lost[:] = 0, []
@@ -432,7 +432,7 @@
             for item in self.engines.values():
                 item.busy, item.loaded = 0, item.wanted
             right = all(
-                self.engines[name].loaded == want_placement(service, target)
+                self.engines[name].loaded == get_desired_placement(service, target)
                 for name, target in self.bundle.targets.items()
             )
             if right and self.count_changing() == 0:
@@ -474,23 +474,23 @@
 
 
 @pytest.mark.parametrize("checks", [True, False])
-def test_order_that_comes_late_is_refused_or_put_right(checks):
-    """A holder stands still with an order on its way; its successor changes all."""
+def test_late_order_is_refused_or_corrected(checks):
+    """A holder pauses with an order in flight while its successor completes a change."""
     world = TwoHolders()
     world.checks = checks
     world.start()
     old, new = world.holders
     run_ticks(world, old, 5)
     world.change_bundle(0)
-    while not old.engines.on_way:
+    while not old.engines.in_flight:
         if old.step():
             world.clock.advance(1.0)
     world.change_bundle(1)
     wanted = world.bundle
     run_ticks(world, new, 90)
-    right = want_placement(wanted.services["drafting"], wanted.targets["e0-0"])
+    right = get_desired_placement(wanted.services["drafting"], wanted.targets["e0-0"])
     assert {item.loaded.adapters for item in world.engines.values()} == {("a3",)}
-    while old.engines.on_way:
+    while old.engines.in_flight:
         old.step()
     engine = world.engines["e0-0"]
     assert (engine.wanted == right) == checks
@@ -503,7 +503,10 @@
 
 
 def test_late_order_cannot_reach_an_engine_whose_drain_has_ended():
-    """Found by a long run: the successor ended a drain before it raised the number."""
+    """Guards against a successor that ends a drain before it raises the fencing number.
+
+    The engine would still accept a late order of the previous holder.
+    """
     world = TwoHolders()
     world.start()
     world.change_bundle(1)
@@ -517,7 +520,7 @@
 
 
 class ManyEngines(TwoHolders):
-    """Thirty engines of each range."""
+    """Runs thirty engines for each layer range."""
 
     def build(self, version):
         return build_bundle(version, (f"a{version}",), replicas=30, floor=2)
@@ -554,7 +557,7 @@
 
 
 def run_ticks(world, holder, count):
-    """Let a holder work for some seconds with engines that load in one."""
+    """Run a holder for ``count`` ticks of one second; loads end within one."""
     for _ in range(count):
         run_tick(holder)
         world.clock.advance(1.0)
@@ -568,7 +571,7 @@
 
 
 class TwoHoldersIgnored(TwoHolders):
-    """The same with engines that ignore fencing numbers: wrong for a while, healed."""
+    """Uses engines that ignore fencing numbers: late orders are corrected later."""
 
     checks = False
 
--- a/marigoldswitch/tests/test_quotas.py
+++ b/marigoldswitch/tests/test_quotas.py
@@ -1,5 +1,4 @@
-"""Quotas hold over all hosts, wherever requests arrive and whichever hosts come and
-go."""
+"""Quotas hold over all hosts, wherever requests arrive and as hosts join and leave."""
 
 import random
 
@@ -21,7 +20,7 @@
 
 
 class Region:
-    """Hosts that share one account's quota, with messages that take one step."""
+    """Simulates hosts that share one account's quota and draw from it at each step."""
 
     def __init__(self, count, rate, burst, seed=1):
         self.account = build_account(rate, burst)
@@ -65,8 +64,8 @@
                         host.take_lease(lease, self.now)
         self.now += STEP
 
-    def play(self, seconds, rate, weights=None, silent=()):
-        """Offer requests at a rate, spread over the hosts by weights."""
+    def run(self, seconds, rate, weights=None, silent=()):
+        """Offer requests at a rate per second, spread over the hosts by weights."""
         due = 0.0
         names = sorted(self.hosts)
         for _ in range(round(seconds / STEP)):
@@ -82,21 +81,21 @@
 @pytest.mark.parametrize("load", [2.0, 10.0])
 def test_quota_is_met_wherever_requests_arrive(weights, load):
     region = Region(8, rate=20.0, burst=40.0)
-    region.play(60.0, load * 20.0, weights)
+    region.run(60.0, load * 20.0, weights)
     most = 20.0 * 60.0 + 40.0 + 8 * 5.0
     assert 0.95 * 20.0 * 60.0 <= region.admitted <= most
 
 
 def test_nothing_is_refused_within_the_quota():
     region = Region(8, rate=20.0, burst=40.0)
-    region.play(120.0, 0.8 * 20.0, [8, 4, 2, 1, 1, 0, 0, 0])
+    region.run(120.0, 0.8 * 20.0, [8, 4, 2, 1, 1, 0, 0, 0])
     assert region.refused <= 0.01 * region.admitted
 
 
 def test_idle_account_has_its_whole_burst_again():
     region = Region(8, rate=1.0, burst=40.0)
-    region.play(10.0, 10.0)
-    region.play(120.0, 0.0)
+    region.run(10.0, 10.0)
+    region.run(120.0, 0.0)
     before = region.admitted
     for number in range(100):
         region.offer(f"host-{number % 8}")
@@ -108,9 +107,9 @@
 def test_error_is_bounded_when_hosts_come_and_go(seed):
     region = Region(8, rate=20.0, burst=40.0, seed=seed)
     for number in range(10):
-        region.play(5.0, 100.0)
+        region.run(5.0, 100.0)
         region.remove(sorted(region.hosts)[number % 8])
-        region.play(5.0, 100.0)
+        region.run(5.0, 100.0)
         region.add(f"new-{number}")
     bound = 20.0 * region.now
     assert 0.9 * bound <= region.admitted
@@ -119,10 +118,10 @@
 
 def test_silent_keeper_leaves_each_host_its_own_part():
     region = Region(8, rate=20.0, burst=40.0)
-    region.play(20.0, 100.0)
+    region.run(20.0, 100.0)
     before, began = region.admitted, region.now
     keeper = choose_keeper("a", region.hosts)
-    region.play(60.0, 100.0, silent={keeper})
+    region.run(60.0, 100.0, silent={keeper})
     seconds = region.now - began
     assert region.admitted - before <= 20.0 * seconds + 40.0 + 8 * 5.0
     assert region.admitted - before >= 0.85 * 20.0 * seconds
@@ -130,9 +129,9 @@
 
 def test_caller_that_comes_back_when_told_is_admitted():
     region = Region(4, rate=5.0, burst=10.0)
-    region.play(20.0, 50.0)
+    region.run(20.0, 50.0)
     told = region.hosts["host-0"].admit("a", region.now)
-    region.play(told + 2 * STEP, 0.0)
+    region.run(told + 2 * STEP, 0.0)
     before = region.admitted
     region.offer("host-0")
     assert region.admitted == before + 1
@@ -162,7 +161,7 @@
 
 
 class QuotaMachine(RuleBasedStateMachine):
-    """Requests, draws and losses of messages in any order."""
+    """Mixes requests, draws and unanswered draws in any order."""
 
     def __init__(self):
         super().__init__()
--- a/marigoldswitch/tests/test_routing.py
+++ b/marigoldswitch/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes cover every layer with targets that have room."""
+"""Routes cover every layer, in order, with targets that have room."""
 
 from hypothesis import given, strategies as st
 
@@ -24,7 +24,7 @@
     assert choose(BOOKINGS, states, avoid={"c"}) is None
 
 
-def test_unequal_cuts_may_be_joined():
+def test_unequal_layer_ranges_may_be_chained():
     states = [
         build_state("a", (0, 6)),
         build_state("b", (0, 4), held=1),
