--- a/marigoldswitch/tests/test_placement.py
+++ b/marigoldswitch/tests/test_placement.py
@@ -37,8 +37,8 @@
     Reason,
     SendOrder,
     Wait,
-    plan_placement,
     get_desired_placement,
+    plan_placement,
 )
 from marigoldswitch.core.ports import Row
 from marigoldswitch.core.upgrades import find_upgrade_faults
@@ -475,7 +475,7 @@
 
 @pytest.mark.parametrize("checks", [True, False])
 def test_late_order_is_refused_or_corrected(checks):
-    """A holder pauses with an order in flight while its successor completes a change."""
+    """A holder pauses with an order in flight; its successor finishes a change."""
     world = TwoHolders()
     world.checks = checks
     world.start()
