--- a/marigoldswitch/standins/platform_engines.py
+++ b/marigoldswitch/standins/platform_engines.py
@@ -1,8 +1,8 @@
-"""Stand-ins of the users' platform's targets: layered engines and a plain service.
+"""Stand-ins for targets of the users' platform: layered engines and a plain service.
 
-They speak the published protocol and keep a record of what they ran, by which tests
-judge. Engines of one :class:`EngineSite` forward among themselves: a chain that passes
-a dead one stalls until it is changed.
+They speak the published protocol and record what they ran, for the checks of tests.
+The engines of an :class:`EngineSite` form chains: a chain through a dead engine stalls
+until its path is changed.
 """
 
 import asyncio
@@ -15,20 +15,20 @@
 from aiohttp import web
 
 STALL_SECONDS = 2.0
-"""Time after which a stream that waits for a dead engine is cut off."""
+"""Time after which a stream that waits for a dead engine is aborted."""
 PAUSE_SECONDS = 0.005
-"""Pause between two events."""
-CRASH_SECONDS = 0.02
-"""Time from the begin of a run that ends its target to that end."""
-RETURN_SECONDS = 0.3
-"""Time after which a target that a request has ended listens again."""
+"""Pause between two events of a stream."""
+CRASH_DELAY_SECONDS = 0.02
+"""Time from the start of a request that crashes its target to the crash."""
+RESTART_SECONDS = 0.3
+"""Time after which a crashed target listens again."""
 
 
 @dataclass(slots=True)
 class StreamRecord:
-    """A stream that an engine has begun.
+    """A stream that an engine has started.
 
-    :param path: layer ranges by address, as they are now.
+    :param path: current stages as (address, first layer, end layer).
     :param passed: for each event, the layers that ran, in order.
     """
 
@@ -38,7 +38,11 @@
 
 
 class TargetStandin:
-    """An HTTP server on a port of the kernel's choice that can die and answer badly."""
+    """HTTP server on a port chosen by the kernel that can crash and simulate faults.
+
+    :ivar runs: number of runs by attempt id.
+    :ivar heads: headers of each request that reached :meth:`check_head`.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -49,23 +53,23 @@
         self.bodies: list[bytes] = []
         self.alive = False
         self.crashing: set[bytes] = set()
-        """Bodies of requests that end the target which begins to run them."""
+        """Bodies of requests that crash the target which starts to run them."""
         self.crashes: Counter[bytes] = Counter()
-        """Ends that each of these has brought about."""
-        self._returns: set[asyncio.Task[None]] = set()
+        """Number of crashes that each of these bodies has caused."""
+        self._restart_tasks: set[asyncio.Task[None]] = set()
         self._runner: web.ServerRunner | None = None
-        self._reserved = socket.socket()
-        """Keeps the port from others: once it is dead, nothing answers there."""
+        self._port_socket = socket.socket()
+        """Reserves the port, so that nothing else answers there after a crash."""
 
     async def start(self) -> None:
-        """Listen."""
-        self._reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._reserved.bind(("127.0.0.1", 0))
+        """Reserve a port and listen on it."""
+        self._port_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._port_socket.bind(("127.0.0.1", 0))
         await self.listen()
 
     async def listen(self) -> None:
-        """Listen on the port that it has, at first or once more after its end."""
-        port = self._reserved.getsockname()[1]
+        """Listen on the reserved port, initially or again after a stop."""
+        port = self._port_socket.getsockname()[1]
         server = web.Server(self.handle, access_log=None, handler_cancellation=True)
         self._runner = web.ServerRunner(server, shutdown_timeout=0.05)
         await self._runner.setup()
@@ -74,28 +78,31 @@
         self.alive = True
 
     def release(self) -> None:
-        """Give the port back."""
-        for task in self._returns:
+        """Cancel pending restarts and free the port."""
+        for task in self._restart_tasks:
             task.cancel()
-        self._reserved.close()
+        self._port_socket.close()
 
     async def crash(self, body: bytes) -> None:
-        """End under a request, and listen again after a while."""
-        await asyncio.sleep(CRASH_SECONDS)
-        if self.alive and not self._returns:
+        """Crash because of a request, and listen again after a while.
+
+        :param body: the request's body.
+        """
+        await asyncio.sleep(CRASH_DELAY_SECONDS)
+        if self.alive and not self._restart_tasks:
             self.crashes[body] += 1
-            task = asyncio.create_task(self._end_and_return())
-            self._returns.add(task)
-            task.add_done_callback(self._returns.discard)
-        await asyncio.sleep(RETURN_SECONDS)
+            task = asyncio.create_task(self._stop_and_restart())
+            self._restart_tasks.add(task)
+            task.add_done_callback(self._restart_tasks.discard)
+        await asyncio.sleep(RESTART_SECONDS)
 
-    async def _end_and_return(self) -> None:
+    async def _stop_and_restart(self) -> None:
         await self.stop()
-        await asyncio.sleep(RETURN_SECONDS)
+        await asyncio.sleep(RESTART_SECONDS)
         await self.listen()
 
     async def stop(self) -> None:
-        """Die: connections are reset, new ones refused."""
+        """Abort all connections and refuse new ones."""
         if not self.alive:
             return
         self.alive = False
@@ -110,7 +117,7 @@
         raise NotImplementedError
 
     def check_head(self, http: web.BaseRequest) -> web.Response | None:
-        """Return a refusal if another target is meant."""
+        """Record a request; return a refusal if it is meant for another target."""
         self.heads.append(dict(http.headers))
         self.paths.append(http.raw_path)
         if http.headers.get("Expect-Replica") != self.name:
@@ -118,7 +125,7 @@
         return None
 
     def refuse(self, http: web.BaseRequest, status: int) -> web.Response:
-        """Return an answer that promises that nothing has run."""
+        """Return a refusal which states that nothing has run."""
         headers = {
             "Not-Executed": "1",
             "Attempt-Id": http.headers.get("Attempt-Id", ""),
@@ -127,7 +134,7 @@
         return web.Response(status=status, headers=headers)
 
     def sign(self, http: web.BaseRequest) -> dict[str, str]:
-        """Return the headers of an own answer."""
+        """Return the headers which show that an answer comes from this target."""
         return {
             "Attempt-Id": http.headers.get("Attempt-Id", ""),
             "Replica-Signature": f"signed-by-{self.name}",
@@ -135,12 +142,12 @@
 
 
 class PlainStandin(TargetStandin):
-    """A plain service.
+    """Stand-in for a plain service.
 
-    :ivar statuses: statuses of the next answers; 200 once there are none left.
-    :ivar refusals: requests that are next refused as not run.
-    :ivar hangs: requests that next never get an answer.
-    :ivar cuts: requests that next run and lose their answer.
+    :ivar statuses: statuses of the next answers; 200 once the list is empty.
+    :ivar refusals: number of next requests that are refused as not run.
+    :ivar hangs: number of next requests that run and never get an answer.
+    :ivar cuts: number of next requests that run and lose their answer.
     """
 
     def __init__(self, name: str) -> None:
@@ -176,18 +183,21 @@
 
 
 class EngineSite:
-    """The engines of a model, who reach each other."""
+    """Engines of one model, which can reach each other.
+
+    :param layers: number of layers of the model.
+    """
 
     def __init__(self, layers: int) -> None:
         self.layers = layers
         self.engines: dict[str, EngineStandin] = {}
         self.felling: set[bytes] = set()
-        """Bodies of requests that end the second engine of their chain, and each that
-        takes its place."""
+        """Bodies of requests that crash the second engine of their chain, and every
+        engine that replaces it."""
         self.streams: list[StreamRecord] = []
 
-    def find_obstacle(self, path: list[tuple[str, int, int]]) -> str | None:
-        """Return the address of a stage that is dead or does not hold its part."""
+    def find_unavailable_stage(self, path: list[tuple[str, int, int]]) -> str | None:
+        """Return the address of the first stage that is dead or lacks its layers."""
         for address, first, end in path:
             engine = self.engines.get(address)
             if engine is None or not engine.alive or not engine.holds(first, end):
@@ -196,35 +206,40 @@
 
 
 class EngineStandin(TargetStandin):
-    """An engine that holds a range of layers."""
+    """Stand-in for an engine that holds a range of layers.
+
+    :ivar held: the layers as ``(first, end)``; ``None`` while it holds none.
+    :ivar sequence: revision of its layers; an order must name the current one.
+    :ivar events: number of events in a stream.
+    """
 
     def __init__(self, name: str, site: EngineSite) -> None:
         super().__init__(name)
         self.site = site
         self.held: tuple[int, int] | None = None
         self.born = 0
-        """Unix milliseconds of its start; 0 where it does not say."""
+        """Start time in Unix milliseconds; 0 if it does not report one."""
         self.sequence = 0
         self.orders: list[dict[str, Any]] = []
         self.events = 20
         self.refusals = 0
-        """Requests still to be refused for want of memory."""
+        """Number of next requests that are refused for lack of memory."""
         self.cut_after: int | None = None
-        """Events after which the next stream breaks off in the middle of one."""
+        """Number of events after which the next stream is aborted inside an event."""
         self.resets = False
-        """Whether it resets each request, and answers reports as if it were well."""
+        """Whether it resets each request but answers reports as if it were healthy."""
         self.forgets = False
-        """Whether it has forgotten the connections that have carried a request."""
-        self._known: set[object] = set()
+        """Whether it aborts a connection that already carried a request when reused."""
+        self._used_connections: set[object] = set()
         self._own: dict[str, StreamRecord] = {}
 
     async def start(self) -> None:
-        """Listen and be found by the others."""
+        """Listen and join the engines of the site."""
         await super().start()
         self.site.engines[self.address] = self
 
     def holds(self, first: int, end: int) -> bool:
-        """Tell whether it holds some layers."""
+        """Tell whether it holds the layers from ``first`` to before ``end``."""
         return self.held is not None and self.held[0] <= first and end <= self.held[1]
 
     async def handle(self, http: web.BaseRequest) -> web.StreamResponse:
@@ -234,11 +249,11 @@
                 return _answer(self._report())
             case "/order":
                 return self._take_order(orjson.loads(await http.read()))
-        if self.forgets and http.protocol in self._known:
+        if self.forgets and http.protocol in self._used_connections:
             assert http.transport is not None
             http.transport.abort()
             return web.Response()
-        self._known.add(http.protocol)
+        self._used_connections.add(http.protocol)
         body = await http.read()
         self.bodies.append(body)
         if self.resets:
@@ -251,7 +266,7 @@
             self.refusals -= 1
             return self.refuse(http, 503)
         path = _read_path(http.headers["Hop-Count"])
-        obstacle = self.site.find_obstacle(path)
+        obstacle = self.site.find_unavailable_stage(path)
         if obstacle is not None:
             answer = self.refuse(http, 503)
             answer.headers["At-Server"] = obstacle
@@ -261,7 +276,7 @@
     def _report(self) -> dict[str, Any]:
         stalled = []
         for record in self._own.values():
-            obstacle = self.site.find_obstacle(record.path)
+            obstacle = self.site.find_unavailable_stage(record.path)
             if obstacle is not None:
                 stalled.append({"id": record.request, "address": obstacle})
         layers = {"from": self.held[0], "target": self.held[1]} if self.held else None
@@ -275,9 +290,9 @@
         return report | ({"born": self.born} if self.born else {})
 
     def restart(self, born: int) -> None:
-        """Start again under the same name, with nothing of before.
+        """Simulate a restart under the same name that loses the engine's layers.
 
-        :param born: Unix milliseconds.
+        :param born: new start time in Unix milliseconds.
         """
         self.born = born
         self.held = None
@@ -300,7 +315,7 @@
         record = self._own.get(request)
         if record is None:
             return web.Response(status=404)
-        obstacle = self.site.find_obstacle(path)
+        obstacle = self.site.find_unavailable_stage(path)
         if obstacle is not None:
             return _answer({"address": obstacle}, 409)
         record.path = path
@@ -354,9 +369,9 @@
             await asyncio.sleep(PAUSE_SECONDS)
 
     async def _wait_for_path(self, record: StreamRecord) -> bool:
-        """Wait while a stage is missing; tell whether the stream can go on."""
+        """Wait while a stage is unavailable; return whether the stream can go on."""
         waited = 0.0
-        while self.site.find_obstacle(record.path) is not None:
+        while self.site.find_unavailable_stage(record.path) is not None:
             if waited > STALL_SECONDS:
                 return False
             await asyncio.sleep(PAUSE_SECONDS)
--- a/marigoldswitch/standins/platform_store.py
+++ b/marigoldswitch/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the users' platform's store: rows, feeds of them, and its faults."""
+"""Stand-in for the store of the users' platform: rows, change feeds and faults."""
 
 import asyncio
 import base64
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Copy:
+class _Snapshot:
     rows: dict[RowKey, Fields]
     history: list[Fields]
     version: int
@@ -23,10 +23,11 @@
 class StoreStandin:
     """Keeps rows in memory and answers the store's calls.
 
-    :ivar refuse: status with which every call is turned away, if any.
-    :ivar silent: calls get no answer at all.
-    :ivar lose_writes: writes are done and not answered.
-    :ivar era: told in each answer; ``None`` for a store that knows no eras.
+    :ivar refuse: HTTP status with which every call is refused, if any.
+    :ivar silent: calls get no answer.
+    :ivar lose_writes: writes take effect but get no answer.
+    :ivar calls: paths of all calls received.
+    :ivar era: value of the ``Store-Era`` header; ``None`` for a store without eras.
     """
 
     def __init__(self) -> None:
@@ -36,18 +37,18 @@
         self.lose_writes = False
         self.calls: list[str] = []
         self.era: int | None = 1
-        self._copy: _Copy | None = None
+        self._snapshot: _Snapshot | None = None
         self._rows: dict[RowKey, Fields] = {}
         self._history: list[Fields] = []
-        self._oldest = 0
+        self._oldest_version = 0
         self._version = 1
         self._changed = asyncio.Event()
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen on a port of the kernel's choice."""
+        """Listen on a port chosen by the kernel."""
         application = web.Application()
-        application.on_response_prepare.append(self._tell_era)
+        application.on_response_prepare.append(self._add_era_header)
         application.router.add_post("/rows-tx", self._transact)
         application.router.add_get("/rows-get", self._get)
         application.router.add_get("/rows-feed", self._feed)
@@ -63,11 +64,11 @@
         await self._runner.cleanup()
 
     def put(self, table: str, key: str, value: Any) -> int:
-        """Write a row as the operator or a target does; return its version."""
+        """Write a JSON row, as the operator or a target would; return its version."""
         return self.put_bytes(table, key, orjson.dumps(value))
 
     def put_bytes(self, table: str, key: str, value: bytes) -> int:
-        """Write a row of any bytes, as some other writer may; return its version."""
+        """Write a row of arbitrary bytes, as another writer may; return its version."""
         self._write(table, "", key, base64.b64encode(value).decode())
         return self._version
 
@@ -76,29 +77,34 @@
         self._delete(table, "", key)
 
     def read(self, table: str, key: str) -> bytes | None:
-        """Return the value of a row."""
+        """Return the value of a row, or ``None``."""
         row = self._rows.get((table, "", key))
         return base64.b64decode(row["value"]) if row else None
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the history; feeds from an older version are then answered 410."""
         self._history.clear()
-        self._oldest = self._version
+        self._oldest_version = self._version
 
     def copy(self) -> None:
-        """Make a copy from which it can come back."""
-        self._copy = _Copy(dict(self._rows), list(self._history), self._version)
+        """Take a snapshot for :meth:`restore`."""
+        self._snapshot = _Snapshot(dict(self._rows), list(self._history), self._version)
 
     def restore(self) -> None:
-        """Come back from the copy: what was written since is gone."""
-        assert self._copy is not None
-        self._rows, self._history = dict(self._copy.rows), list(self._copy.history)
-        self._version = self._copy.version
+        """Restore the snapshot, losing all later writes, and begin a new era."""
+        assert self._snapshot is not None
+        self._rows, self._history = (
+            dict(self._snapshot.rows),
+            list(self._snapshot.history),
+        )
+        self._version = self._snapshot.version
         self.era = (self.era or 0) + 1
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def _tell_era(self, http: web.Request, answer: web.StreamResponse) -> None:
+    async def _add_era_header(
+        self, http: web.Request, answer: web.StreamResponse
+    ) -> None:
         if self.era is not None:
             answer.headers["Store-Era"] = str(self.era)
 
@@ -112,13 +118,13 @@
             "row_version": self._version,
         }
         self._rows[table, part, key] = row
-        self._note(row)
+        self._append_history(row)
 
     def _delete(self, table: str, part: str, key: str) -> None:
         if self._rows.pop((table, part, key), None) is None:
             return
         self._version += 1
-        self._note(
+        self._append_history(
             {
                 "table": table,
                 "part": part,
@@ -128,13 +134,13 @@
             }
         )
 
-    def _note(self, row: Fields) -> None:
+    def _append_history(self, row: Fields) -> None:
         self._history.append(row)
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def _gate(self, http: web.Request) -> web.Response | None:
-        """Return the answer of a store that is out of order."""
+    async def _apply_faults(self, http: web.Request) -> web.Response | None:
+        """Record a call and apply the set faults; return the refusal, if any."""
         self.calls.append(http.path)
         if self.silent:
             await asyncio.sleep(3600)
@@ -143,7 +149,7 @@
         return None
 
     async def _transact(self, http: web.Request) -> web.Response:
-        refusal = await self._gate(http)
+        refusal = await self._apply_faults(http)
         if refusal is not None:
             return refusal
         body = orjson.loads(await http.read())
@@ -160,7 +166,7 @@
         return _answer({}, self._version)
 
     async def _get(self, http: web.Request) -> web.Response:
-        refusal = await self._gate(http)
+        refusal = await self._apply_faults(http)
         if refusal is not None:
             return refusal
         query = http.query
@@ -176,11 +182,11 @@
         return _answer(fields, self._version)
 
     async def _feed(self, http: web.Request) -> web.Response:
-        refusal = await self._gate(http)
+        refusal = await self._apply_faults(http)
         if refusal is not None:
             return refusal
         table, since = http.query["table"], int(http.query["since_rev"])
-        if since < self._oldest or since > self._version:
+        if since < self._oldest_version or since > self._version:
             return web.Response(status=410)
         loop = asyncio.get_running_loop()
         end = loop.time() + int(http.query.get("wait_ms", "0")) / 1000.0
@@ -188,7 +194,7 @@
             changed = asyncio.ensure_future(self._changed.wait())
             await asyncio.wait({changed}, timeout=end - loop.time())
             changed.cancel()
-        if since < self._oldest:
+        if since < self._oldest_version:
             return web.Response(status=410)
         return _answer({"rows": rows}, self._version)
 
--- a/marigoldswitch/tests/test_deployment.py
+++ b/marigoldswitch/tests/test_deployment.py
@@ -1,4 +1,4 @@
-"""The whole path: callers, hosts, dispatchers, engines, platform, on loopback."""
+"""End-to-end tests on loopback: callers, hosts, dispatchers, engines, platform."""
 
 import hashlib
 
--- a/marigoldswitch/tests/test_standins.py
+++ b/marigoldswitch/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in shows an old host list while it lags."""
+"""Tests of the platform stand-in: its host list is stale while it lags."""
 
 from marigoldswitch.tests.helpers import run_async, run_deployment, wait_until
 
--- a/marigoldswitch/tests/test_streams.py
+++ b/marigoldswitch/tests/test_streams.py
@@ -1,6 +1,6 @@
-"""Streams over chains whose stages fail: the caller's text is an undisturbed run's.
+"""Streams over chains whose stages fail: the caller's text is that of a fault-free run.
 
-Judged by the engines' own records: each layer at most once for each token of an epoch.
+The engines' own records show that each layer ran at most once per token and epoch.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 PROMPT = "A letter about a doll"
 TOKENS = 40
-WHOLE = "".join(choose_word(PROMPT, position) for position in range(TOKENS))
+FULL_TEXT = "".join(choose_word(PROMPT, position) for position in range(TOKENS))
 SETTINGS = {"streams": {"first_token": 0.5, "stall_factor": 10, "stall_floor": 0.15}}
 FAST = ["engine-0-0", "engine-1-0", "engine-2-0"]
 
@@ -45,7 +45,7 @@
 
 
 async def draft(deployment, session, disturb=None, after=0):
-    """Stream a draft and call ``disturb`` once some tokens have come."""
+    """Stream a draft and call ``disturb`` after ``after`` tokens; at the start if 0."""
     content = b""
     async with open_draft(deployment, session) as response:
         if disturb and not after:
@@ -58,12 +58,12 @@
     return parse_events(content)
 
 
-def check(deployment, events):
-    """The whole text came once, and no layer ran twice for a token of an epoch."""
+def check_stream(deployment, events):
+    """Check that the text is whole and no layer ran twice per token and epoch."""
     *tokens, (last, end) = events
     assert last == "end", end
     assert [data["position"] for _, data in tokens] == list(range(TOKENS))
-    assert "".join(data["text"] for _, data in tokens) == WHOLE
+    assert "".join(data["text"] for _, data in tokens) == FULL_TEXT
     assert end["tokens"] == TOKENS
     for engine in deployment.engines.values():
         assert set(engine.ran.values()) <= {1}
@@ -86,7 +86,7 @@
     async def play():
         async with run_streams() as (deployment, session):
             disturb = set_fault([name], **fault)
-            check(deployment, await draft(deployment, session, disturb, after))
+            check_stream(deployment, await draft(deployment, session, disturb, after))
             deployment.engines[name].faults.stall = False
 
     run_async(play())
@@ -98,7 +98,7 @@
     async def play():
         async with run_streams() as (deployment, session):
             set_fault([name], **fault)(deployment.engines)
-            check(deployment, await draft(deployment, session))
+            check_stream(deployment, await draft(deployment, session))
             deployment.engines[name].faults.stall = False
 
     run_async(play())
@@ -123,7 +123,7 @@
     async def play():
         async with run_streams() as (deployment, session):
             disturb = set_fault(names, **fault)
-            check(deployment, await draft(deployment, session, disturb, after=5))
+            check_stream(deployment, await draft(deployment, session, disturb, after=5))
 
     run_async(play())
 
@@ -145,7 +145,7 @@
             engines["engine-0-0"].faults.dead = True
             await asyncio.sleep(0.1)
             engines["engine-2-0"].faults.dead = False
-            check(deployment, await task)
+            check_stream(deployment, await task)
 
     run_async(play())
 
@@ -157,7 +157,9 @@
             for engine in engines.values():
                 engine.faults.refuse_kv = refuse
             disturb = set_fault(["engine-1-0"], stall=True)
-            check(deployment, await draft(deployment, session, disturb, after=20))
+            check_stream(
+                deployment, await draft(deployment, session, disturb, after=20)
+            )
             engines["engine-1-0"].faults.stall = False
             return {name: engine.prefilled for name, engine in engines.items()}
 
@@ -205,7 +207,10 @@
 
 
 def test_stream_opened_but_never_started_ends_with_its_reader():
-    """Found by the randomised run, seed 25: its host was killed between the two."""
+    """A host may die after opening a stream and before starting it.
+
+    The randomised run found this with seed 25.
+    """
 
     async def play():
         async with run_streams() as (deployment, session):
