--- a/marigoldswitch/standins/platform_engines.py
+++ b/marigoldswitch/standins/platform_engines.py
@@ -1,7 +1,7 @@
 """Stand-ins for targets of the users' platform: layered engines and a plain service.
 
 They speak the published protocol and record what they ran, for the checks of tests.
-The engines of an :class:`EngineSite` form chains: a chain through a dead engine stalls
+The engines of an ``EngineSite`` form chains: a chain through a dead engine stalls
 until its path is changed.
 """
 
--- a/marigoldswitch/standins/platform_store.py
+++ b/marigoldswitch/standins/platform_store.py
@@ -25,7 +25,7 @@
 
     :ivar refuse: HTTP status with which every call is refused, if any.
     :ivar silent: calls get no answer.
-    :ivar lose_writes: writes take effect but get no answer.
+    :ivar lose_write_answers: writes take effect but get no answer.
     :ivar calls: paths of all calls received.
     :ivar era: value of the ``Store-Era`` header; ``None`` for a store without eras.
     """
@@ -34,7 +34,7 @@
         self.address = ""
         self.refuse: int | None = None
         self.silent = False
-        self.lose_writes = False
+        self.lose_write_answers = False
         self.calls: list[str] = []
         self.era: int | None = 1
         self._snapshot: _Snapshot | None = None
@@ -153,15 +153,15 @@
         if refusal is not None:
             return refusal
         body = orjson.loads(await http.read())
-        for guard in body["expected_rev"]:
-            row = self._rows.get(_get_key(guard))
-            if (row["row_version"] if row else 0) != guard["row_version"]:
+        for expectation in body["expected_rev"]:
+            row = self._rows.get(_get_key(expectation))
+            if (row["row_version"] if row else 0) != expectation["row_version"]:
                 return _answer({"rows": [row] if row else []}, self._version, 412)
         for put in body["puts"]:
             self._write(*_get_key(put), put["value"])
-        for name in body["remove"]:
-            self._delete(*_get_key(name))
-        if self.lose_writes:
+        for removal in body["remove"]:
+            self._delete(*_get_key(removal))
+        if self.lose_write_answers:
             await asyncio.sleep(3600)
         return _answer({}, self._version)
 
--- a/marigoldswitch/tests/test_deployment.py
+++ b/marigoldswitch/tests/test_deployment.py
@@ -51,7 +51,7 @@
     }
 
 
-def test_same_draft_in_one_piece_is_the_same_text():
+def test_unstreamed_draft_gives_the_same_text_through_any_host():
     async def play():
         async with run_deployment() as (deployment, session):
             answers = []
--- a/marigoldswitch/tests/test_streams.py
+++ b/marigoldswitch/tests/test_streams.py
@@ -44,16 +44,16 @@
         yield response
 
 
-async def draft(deployment, session, disturb=None, after=0):
-    """Stream a draft and call ``disturb`` after ``after`` tokens; at the start if 0."""
+async def draft(deployment, session, inject=None, after=0):
+    """Stream a draft and call ``inject`` after ``after`` tokens; at the start if 0."""
     content = b""
     async with open_draft(deployment, session) as response:
-        if disturb and not after:
-            disturb(deployment.engines)
+        if inject and not after:
+            inject(deployment.engines)
         async for line in response.content:
             content += line
-            if disturb and after and content.count(b"event: token") == after:
-                disturb(deployment.engines)
+            if inject and after and content.count(b"event: token") == after:
+                inject(deployment.engines)
                 after = 0
     return parse_events(content)
 
@@ -71,12 +71,12 @@
 
 
 def set_fault(names, **faults):
-    def disturb(engines):
+    def inject(engines):
         for name in names:
             for fault, value in faults.items():
                 setattr(engines[name].faults, fault, value)
 
-    return disturb
+    return inject
 
 
 @pytest.mark.parametrize("after", [1, 20, 39])
@@ -85,8 +85,8 @@
 def test_stage_fails_in_mid_stream(after, name, fault):
     async def play():
         async with run_streams() as (deployment, session):
-            disturb = set_fault([name], **fault)
-            check_stream(deployment, await draft(deployment, session, disturb, after))
+            inject = set_fault([name], **fault)
+            check_stream(deployment, await draft(deployment, session, inject, after))
             deployment.engines[name].faults.stall = False
 
     run_async(play())
@@ -119,11 +119,11 @@
         (FAST, {"slow": 20.0}),
     ],
 )
-def test_whole_text_under_other_faults(names, fault):
+def test_text_is_complete_under_other_faults(names, fault):
     async def play():
         async with run_streams() as (deployment, session):
-            disturb = set_fault(names, **fault)
-            check_stream(deployment, await draft(deployment, session, disturb, after=5))
+            inject = set_fault(names, **fault)
+            check_stream(deployment, await draft(deployment, session, inject, after=5))
 
     run_async(play())
 
@@ -134,12 +134,12 @@
             engines = deployment.engines
             engines["engine-1-0"].faults.die_at = None
 
-            def disturb(engines):
+            def inject(engines):
                 engines["engine-2-0"].faults.dead = True
                 engines["engine-2-1"].faults.die_at = 11
                 engines["engine-1-0"].faults.link_delay = 0.05
 
-            events = draft(deployment, session, disturb, after=10)
+            events = draft(deployment, session, inject, after=10)
             task = asyncio.create_task(events)
             await wait_until(lambda: engines["engine-2-1"].ran)
             engines["engine-0-0"].faults.dead = True
@@ -156,10 +156,8 @@
             engines = deployment.engines
             for engine in engines.values():
                 engine.faults.refuse_kv = refuse
-            disturb = set_fault(["engine-1-0"], stall=True)
-            check_stream(
-                deployment, await draft(deployment, session, disturb, after=20)
-            )
+            inject = set_fault(["engine-1-0"], stall=True)
+            check_stream(deployment, await draft(deployment, session, inject, after=20))
             engines["engine-1-0"].faults.stall = False
             return {name: engine.prefilled for name, engine in engines.items()}
 
