--- a/marigoldswitch/tests/test_draining.py
+++ b/marigoldswitch/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Planned stops: nothing in flight is cut off, and callers lose nothing."""
+"""Draining of hosts and targets: requests in flight end, callers see no failure."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 
 
 class Balancer:
-    """Sends to hosts that were ready when it last looked, as the platform's does."""
+    """Tracks the hosts ready at its last check, like the platform's balancer."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -31,7 +31,7 @@
 
 
 async def send_steadily(caller: Caller, balancer: Balancer, number: int, attempts):
-    """Send one request after another until cancelled; finish the one under way."""
+    """Send requests one by one until the balancer is done; finish the open one."""
     generator = random.Random(number)
     count = 0
     while not balancer.done:
@@ -109,7 +109,7 @@
     assert ran == {held.request}
 
 
-def test_leaving_by_a_targets_own_word_reaches_all_hosts_and_is_taken_back():
+def test_leaving_announced_by_a_target_reaches_all_hosts_and_can_be_withdrawn():
     async def play():
         async with run_deployment() as (deployment, session):
             caller = Caller(session, lambda h: deployment.get_address(h, "callers"))
--- a/marigoldswitch/tests/test_log_stories.py
+++ b/marigoldswitch/tests/test_log_stories.py
@@ -1,4 +1,4 @@
-"""The story of a request comes from logs alone, in order, across hosts."""
+"""The lines of a request are found in the logs of several hosts and sorted by time."""
 
 import orjson
 
@@ -29,7 +29,7 @@
     return [str(first), str(second)]
 
 
-def test_story_is_in_order_and_tells_of_its_engines(tmp_path):
+def test_trail_is_in_time_order_and_includes_its_engines(tmp_path):
     story = find_story(read_lines(write(tmp_path)), "r1")
     assert [item["event"] for item in story] == [
         "chain_chosen",
@@ -39,16 +39,16 @@
     ]
 
 
-def test_request_that_no_line_names_has_no_story(tmp_path):
+def test_request_that_no_line_names_has_no_trail(tmp_path):
     assert find_story(read_lines(write(tmp_path)), "r3") == []
 
 
-def test_tool_prints_the_story(tmp_path, capsys):
+def test_tool_prints_the_trail(tmp_path, capsys):
     assert control.explain("r1", *write(tmp_path)) == 0
     assert "broken off" in capsys.readouterr().out
 
 
-def test_tool_names_a_file_that_is_missing(tmp_path, capsys):
+def test_tool_names_a_missing_file(tmp_path, capsys):
     missing = str(tmp_path / "none.log")
     assert control.explain("r1", missing) != 0
     assert missing in capsys.readouterr().err
--- a/marigoldswitch/tests/test_processes.py
+++ b/marigoldswitch/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Daemons and stand-ins as processes: one daemon is stopped, another is killed."""
+"""Daemons and stand-ins as separate processes, which are stopped and killed."""
 
 import asyncio
 import json
@@ -14,12 +14,12 @@
 from marigoldswitch.tests.helpers import run_async
 from marigoldswitch.tools.soak_load import Caller, EndKind
 
-RANGES = {"engine-0": (0, 6), "engine-1": (6, 12)}
+LAYER_RANGES = {"engine-0": (0, 6), "engine-1": (6, 12)}
 DRAIN = {"balancer_lag": 0.5, "longest": 30.0}
 
 
 class Processes:
-    """The processes of one test, each ended by its id."""
+    """Starts and stops the processes of one test, each by its own handle."""
 
     def __init__(self, folder) -> None:
         self.folder = folder
@@ -48,7 +48,7 @@
             event = json.loads(line) if line.startswith(b"{") else {}
             if event.get("event") == "host_started":
                 self.ports[name] = event["ports"]
-        self._readers.append(asyncio.create_task(_drop(process.stderr)))
+        self._readers.append(asyncio.create_task(_discard_lines(process.stderr)))
 
     def get_address(self, name: str, listener: str = "callers") -> str:
         return f"http://{LOOPBACK}:{self.ports[name][listener]}"
@@ -61,14 +61,14 @@
         await asyncio.gather(*self._readers)
 
 
-async def _drop(stream: asyncio.StreamReader) -> None:
+async def _discard_lines(stream: asyncio.StreamReader) -> None:
     while await stream.readline():
         pass
 
 
 @asynccontextmanager
 async def run_processes(folder, daemons):
-    """Start everything; the daemons find each other by one seed."""
+    """Start stand-ins and daemons; the first daemon is the seed of the others."""
     processes = Processes(folder)
     deployment = Deployment(settings={"drain": DRAIN})
     deployment.quota = WIDE_QUOTA
@@ -80,12 +80,12 @@
                 processes.start_standin(
                     name, "engine", name, "--first", str(first), "--end", str(end)
                 )
-                for name, (first, end) in RANGES.items()
+                for name, (first, end) in LAYER_RANGES.items()
             ),
         )
         deployment.addresses["platform"] = platform
         deployment.note_target("desk-0", "hobart", desk, service="bookings")
-        for (name, layers), address in zip(RANGES.items(), engines, strict=True):
+        for (name, layers), address in zip(LAYER_RANGES.items(), engines, strict=True):
             deployment.note_target(
                 name, "hobart", address, service="drafting", layers=list(layers)
             )
@@ -105,7 +105,7 @@
 
 
 class Balancer:
-    """Sends to the daemons that answered that they are ready."""
+    """Polls the readiness of the daemons, as a load balancer does."""
 
     def __init__(self, processes: Processes, session: aiohttp.ClientSession) -> None:
         self.ready: set[str] = set()
@@ -162,18 +162,18 @@
 
             load = [asyncio.create_task(send(number)) for number in range(8)]
 
-            async def let_pass(requests: int) -> None:
+            async def wait_for_attempts(requests: int) -> None:
                 goal = len(attempts) + requests
                 while len(attempts) < goal:
                     await asyncio.sleep(0.01)
 
-            await let_pass(40)
+            await wait_for_attempts(40)
             processes.running["host-1"].send_signal(signal.SIGTERM)
             stopped = await processes.running["host-1"].wait()
-            await let_pass(40)
+            await wait_for_attempts(40)
             processes.running["host-2"].kill()
             await processes.running["host-2"].wait()
-            await let_pass(40)
+            await wait_for_attempts(40)
             done.set()
             await asyncio.gather(*load)
             watch.cancel()
--- a/marigoldswitch/tests/test_replay.py
+++ b/marigoldswitch/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Short recorded traces with stated outcomes."""
+"""Replays of short traces with expected outcomes."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
-def test_trace_ends_as_it_states(path):
+def test_trace_has_its_stated_outcomes(path):
     assert run_async(replay_trace(read_trace(path))) == []
 
 
--- a/marigoldswitch/tools/log_stories.py
+++ b/marigoldswitch/tools/log_stories.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the logs that hosts have written."""
+"""Collects the log lines that explain one request from the logs of several hosts."""
 
 import sys
 from collections.abc import Iterable, Iterator, Sequence
@@ -9,19 +9,18 @@
 import orjson
 
 STANDARD_INPUT = "-"
-AROUND_SECONDS = 2.0
-"""Time before a request's first line from which beliefs about its targets are told."""
-BELIEFS = frozenset({"engine_silent", "target_changed", "order_sent"})
-"""Lines that name a target and no request."""
+LEAD_SECONDS = 2.0
+"""Time before a request's first line from which events of its targets are included."""
+TARGET_EVENTS = frozenset({"engine_silent", "target_changed", "order_sent"})
+"""Events that concern a target and name no request."""
 
 Line = dict[str, Any]
 
 
 def read_lines(paths: Sequence[str]) -> Iterator[Line]:
-    """Return the JSON lines of some files; other text in them is passed over.
+    """Yield the log lines of some files; lines without a JSON event are skipped.
 
-    What stands before a line's first brace, such as a collector's time and host, is
-    left out.
+    Text before the first brace, such as a log collector's time and host, is ignored.
 
     :param paths: files, or ``-`` for standard input.
     """
@@ -47,25 +46,25 @@
 
 
 def find_story(lines: Iterable[Line], request: str) -> list[Line]:
-    """Return the lines about a request and its targets, in order of time.
+    """Return the lines about a request and its targets, sorted by time.
 
     :param request: id of the request.
     """
-    own: list[Line] = []
-    beliefs: list[Line] = []
+    request_lines: list[Line] = []
+    target_lines: list[Line] = []
     for line in lines:
         if line.get("request") == request:
-            own.append(line)
-        elif line["event"] in BELIEFS:
-            beliefs.append(line)
-    if not own:
+            request_lines.append(line)
+        elif line["event"] in TARGET_EVENTS:
+            target_lines.append(line)
+    if not request_lines:
         return []
-    own.sort(key=_get_time)
-    targets = {name for line in own for name in _list_targets(line)}
-    first, last = _get_time(own[0]), _get_time(own[-1])
-    story = own + [
+    request_lines.sort(key=_get_time)
+    targets = {name for line in request_lines for name in _list_targets(line)}
+    first, last = _get_time(request_lines[0]), _get_time(request_lines[-1])
+    story = request_lines + [
         line
-        for line in beliefs
+        for line in target_lines
         if line.get("target") in targets and _is_near(_get_time(line), first, last)
     ]
     return sorted(story, key=_get_time)
@@ -78,16 +77,16 @@
 
 
 def _get_time(line: Line) -> str:
-    """Return the time of a line, in a form that sorts."""
+    """Return the ISO 8601 time of a line, which sorts as text."""
     return str(line.get("timestamp", ""))
 
 
 def _is_near(moment: str, first: str, last: str) -> bool:
-    """Tell whether a moment lies in a request's time, or shortly before it."""
-    return moment <= last and _shift(moment) >= first
+    """Tell whether a time lies within a request's lines or shortly before the first."""
+    return moment <= last and _add_lead(moment) >= first
 
 
-def _shift(moment: str) -> str:
-    """Return the moment some seconds later."""
-    later = datetime.fromisoformat(moment) + timedelta(seconds=AROUND_SECONDS)
+def _add_lead(moment: str) -> str:
+    """Return the time ``LEAD_SECONDS`` later."""
+    later = datetime.fromisoformat(moment) + timedelta(seconds=LEAD_SECONDS)
     return later.isoformat().replace("+00:00", "Z")
