--- a/marigoldswitch/tools/bounds.py
+++ b/marigoldswitch/tools/bounds.py
@@ -1,7 +1,8 @@
-"""Shows what the engines of each data centre could carry under any layout.
+"""Prints an upper bound on the load that the engines of each data centre can carry.
 
-``python -m marigoldswitch.tools.bounds CONFIGURATION TARGETS`` reads the operator's
-configuration and a JSON list of rows of targets, as the store holds both.
+The bound holds for any layout of layers over engines. ``python -m
+marigoldswitch.tools.bounds CONFIGURATION TARGETS`` reads the operator's configuration
+and a JSON list of target rows, both in the format of the platform's store.
 """
 
 import sys
@@ -19,20 +20,24 @@
 from marigoldswitch.platform.configuration import decode_configuration, decode_target
 
 
-def list_lines(
+def format_centres(
     model: ModelSpec, targets: Iterable[Target], prompt: float, answer: float
 ) -> list[str]:
-    """Return a line for each data centre."""
+    """Return one line for each data centre with engines usable for the model.
+
+    :param prompt: tokens of a typical prompt.
+    :param answer: tokens of a typical answer.
+    """
     centres: dict[DataCentre, list[Target]] = {}
     for item in targets:
         if item.accelerator in model.accelerators:
             centres.setdefault(item.data_centre, []).append(item)
     lines = []
-    for centre, held in sorted(centres.items()):
-        kinds = [model.accelerators[item.accelerator] for item in held]
-        load = bound_load(model, kinds, prompt, answer)
+    for centre, engines in sorted(centres.items()):
+        accelerators = [model.accelerators[item.accelerator] for item in engines]
+        load = bound_load(model, accelerators, prompt, answer)
         lines.append(
-            f"{centre}: {len(held)} engines, {load.tokens:.0f} tokens in flight,"
+            f"{centre}: {len(engines)} engines, {load.tokens:.0f} tokens in flight,"
             f" {load.seconds:.2f} s a request, {load.rate:.1f} requests/s"
         )
     return lines
@@ -41,12 +46,12 @@
 def show(
     configuration: Path, targets: Path, *, prompt: float = 774.0, answer: float = 210.0
 ) -> None:
-    """Print what each data centre could carry of each model service.
+    """Print the most that each data centre can carry of each model service.
 
-    :param configuration: file with the operator's configuration.
-    :param targets: file with a list of rows of targets.
-    :param prompt: tokens of a usual prompt.
-    :param answer: tokens of a usual answer.
+    :param configuration: JSON file with the operator's configuration.
+    :param targets: JSON file with a list of target rows.
+    :param prompt: tokens of a typical prompt.
+    :param answer: tokens of a typical answer.
     """
     match decode_configuration(configuration.read_bytes()):
         case Err(why):
@@ -62,9 +67,9 @@
                 print(f"{targets}: row {number} left out: {why}", file=sys.stderr)
     for service in services.values():
         if service.model is not None:
-            own = [item for item in rows if item.service == service.name]
+            service_targets = [item for item in rows if item.service == service.name]
             print(service.name)
-            for line in list_lines(service.model, own, prompt, answer):
+            for line in format_centres(service.model, service_targets, prompt, answer):
                 print(f"  {line}")
 
 
--- a/marigoldswitch/tools/capacity_gateway.py
+++ b/marigoldswitch/tools/capacity_gateway.py
@@ -1,4 +1,4 @@
-"""What the gateway's decisions and digests cost, over engines and peers."""
+"""Measures the gateway's placement decisions and load messages at a given size."""
 
 import random
 import time
@@ -21,23 +21,23 @@
 
 CODEC = MessageCodec(GatewayMessage)
 
-FIRST_HOLDERS = 4
-"""One engine of so many holds the first layers of the model, as on the grown sites."""
-ROUNDS = 50
+TARGETS_PER_FIRST_STAGE = 4
+"""One target in so many holds the first layers of the model, as on large sites."""
+REPETITIONS = 50
 MICROSECONDS = 1e6
-KINDS = {
+ACCELERATORS = {
     "large": Accelerator("large", 72_000.0, 2.4, 3.2),
     "middle": Accelerator("middle", 43_200.0, 5.6, 2.7),
     "small": Accelerator("small", 21_600.0, 16.0, 8.2),
 }
 MODEL = ModelSpec(
-    80, 1750.0, 0.02295, 1.02e-3, 1.4e-5, 1.9e-8, 1e-5, accelerators=KINDS
+    80, 1750.0, 0.02295, 1.02e-3, 1.4e-5, 1.9e-8, 1e-5, accelerators=ACCELERATORS
 )
 CENTRES = ("a", "b", "c")
 
 
 def build_engines(count: int) -> list[EngineSlot]:
-    """Return empty engines of all kinds in three data centres."""
+    """Return engines without layers, of all accelerators, in three data centres."""
     kinds = ("small", "small", "small", "middle", "middle", "large")
     return [
         EngineSlot(
@@ -50,20 +50,23 @@
     ]
 
 
-def time_chain(count: int) -> float:
-    """Return the microseconds that the choice of one chain takes."""
+def time_chain_search(count: int) -> float:
+    """Return the microseconds needed to choose one chain.
+
+    :param count: number of engines.
+    """
     engines = build_engines(count)
     layout = plan_layout(MODEL, engines)
     offers = [_build_offer(item, layout[item.target]) for item in engines]
-    source = random.Random(1)
+    rng = random.Random(1)
     began = time.perf_counter()
-    for _ in range(ROUNDS):
-        find_near_chain(offers, MODEL.layers, DataCentre("a"), source)
-    return (time.perf_counter() - began) / ROUNDS * MICROSECONDS
+    for _ in range(REPETITIONS):
+        find_near_chain(offers, MODEL.layers, DataCentre("a"), rng)
+    return (time.perf_counter() - began) / REPETITIONS * MICROSECONDS
 
 
 def _build_offer(engine: EngineSlot, layers: LayerRange) -> StageOffer:
-    accelerator = KINDS[engine.accelerator]
+    accelerator = ACCELERATORS[engine.accelerator]
     return StageOffer(
         engine.target,
         f"{engine.target}:80",
@@ -75,59 +78,68 @@
     )
 
 
-def time_layout(count: int) -> float:
-    """Return the microseconds that the layout of some engines takes."""
+def time_layout_planning(count: int) -> float:
+    """Return the microseconds needed to plan the layout of layers over engines.
+
+    :param count: number of engines.
+    """
     engines = build_engines(count)
     began = time.perf_counter()
     plan_layout(MODEL, engines)
     return (time.perf_counter() - began) * MICROSECONDS
 
 
-def _count_begun(index: int, requests: int) -> int:
-    """Return the chains that begin at a target: at those with the first layers."""
-    return requests if index % FIRST_HOLDERS == 0 else 0
+def _count_chain_starts(index: int, requests: int) -> int:
+    """Return how many of a target's requests have their chain's first stage there.
+
+    :param index: number of the target; every fourth holds the first layers.
+    """
+    return requests if index % TARGETS_PER_FIRST_STAGE == 0 else 0
 
 
 def build_digest(targets: int) -> LoadDigest:
-    """Return a digest of a host that holds requests at some targets."""
+    """Return the load digest of a host that holds requests at each target."""
     usages = tuple(
-        TargetUsage(TargetId(f"i-{index:010d}"), 2, 1800, _count_begun(index, 2))
+        TargetUsage(TargetId(f"i-{index:010d}"), 2, 1800, _count_chain_starts(index, 2))
         for index in range(targets)
     )
     return LoadDigest(DataCentre("a"), 7, 400, usages, reads=True)
 
 
 def build_summary(targets: int) -> LoadSummary:
-    """Return the sum of a data centre's hosts over some targets."""
+    """Return the load summary of a data centre that holds requests at each target."""
     usages = tuple(
-        TargetUsage(TargetId(f"i-{index:010d}"), 24, 21_600, _count_begun(index, 24))
+        TargetUsage(
+            TargetId(f"i-{index:010d}"), 24, 21_600, _count_chain_starts(index, 24)
+        )
         for index in range(targets)
     )
     return LoadSummary((CentreUsage(DataCentre("a"), usages),), 57, 400)
 
 
-def size_summary(targets: int) -> float:
-    """Return the bytes of a sum."""
+def measure_summary_size(targets: int) -> float:
+    """Return the bytes of an encoded load summary."""
     return float(len(CODEC.encode(build_summary(targets))))
 
 
-def time_summary(targets: int) -> float:
-    """Return the microseconds that reading a sum takes."""
-    return _time_reading(CODEC.encode(build_summary(targets)))
+def time_summary_decoding(targets: int) -> float:
+    """Return the microseconds needed to decode a load summary."""
+    return _time_decoding(CODEC.encode(build_summary(targets)))
 
 
-def size_digest(targets: int) -> float:
-    """Return the bytes of a digest."""
+def measure_digest_size(targets: int) -> float:
+    """Return the bytes of an encoded load digest."""
     return float(len(CODEC.encode(build_digest(targets))))
 
 
-def time_digest(targets: int) -> float:
-    """Return the microseconds that reading a digest takes."""
-    return _time_reading(CODEC.encode(build_digest(targets)))
+def time_digest_decoding(targets: int) -> float:
+    """Return the microseconds needed to decode a load digest."""
+    return _time_decoding(CODEC.encode(build_digest(targets)))
 
 
-def _time_reading(content: bytes) -> float:
+def _time_decoding(content: bytes) -> float:
+    """Return the mean microseconds needed to decode a message."""
     began = time.perf_counter()
-    for _ in range(ROUNDS):
+    for _ in range(REPETITIONS):
         CODEC.decode(content)
-    return (time.perf_counter() - began) / ROUNDS * MICROSECONDS
+    return (time.perf_counter() - began) / REPETITIONS * MICROSECONDS
