--- a/marigoldswitch/tools/capacity_gateway.py
+++ b/marigoldswitch/tools/capacity_gateway.py
@@ -24,7 +24,7 @@
 TARGETS_PER_FIRST_STAGE = 4
 """One target in so many holds the first layers of the model, as on large sites."""
 REPETITIONS = 50
-MICROSECONDS = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 ACCELERATORS = {
     "large": Accelerator("large", 72_000.0, 2.4, 3.2),
     "middle": Accelerator("middle", 43_200.0, 5.6, 2.7),
@@ -62,7 +62,7 @@
     began = time.perf_counter()
     for _ in range(REPETITIONS):
         find_near_chain(offers, MODEL.layers, DataCentre("a"), rng)
-    return (time.perf_counter() - began) / REPETITIONS * MICROSECONDS
+    return (time.perf_counter() - began) / REPETITIONS * MICROSECONDS_PER_SECOND
 
 
 def _build_offer(engine: EngineSlot, layers: LayerRange) -> StageOffer:
@@ -86,7 +86,7 @@
     engines = build_engines(count)
     began = time.perf_counter()
     plan_layout(MODEL, engines)
-    return (time.perf_counter() - began) * MICROSECONDS
+    return (time.perf_counter() - began) * MICROSECONDS_PER_SECOND
 
 
 def _count_chain_starts(index: int, requests: int) -> int:
@@ -142,4 +142,4 @@
     began = time.perf_counter()
     for _ in range(REPETITIONS):
         CODEC.decode(content)
-    return (time.perf_counter() - began) / REPETITIONS * MICROSECONDS
+    return (time.perf_counter() - began) / REPETITIONS * MICROSECONDS_PER_SECOND
