--- a/marigoldswitch/tests/plays.py
+++ b/marigoldswitch/tests/plays.py
@@ -1,4 +1,4 @@
-"""A small arrival loop that drives dispatchers on a virtual clock."""
+"""Discrete-event simulation of requests, dispatchers and targets."""
 
 import heapq
 import itertools
@@ -15,8 +15,11 @@
 
 
 @dataclass(slots=True)
-class Life:
-    """What happened to one request; times in seconds, None where it did not."""
+class RequestRecord:
+    """Course of one request.
+
+    Instants are in seconds of simulated time, ``None`` if the event did not occur.
+    """
 
     ask: object
     arrived: float
@@ -33,78 +36,86 @@
 
 
 class Play:
-    """Dispatchers over one set of targets; each ask goes to one of them in turn.
+    """Dispatchers that share one set of targets and take the requests in turn.
 
+    :param targets: number of targets.
+    :param slots: slots of each target.
     :param mean: mean run time of one unit of cost, in seconds.
-    :param sigma: of the log-normal run times.
+    :param sigma: sigma of the log-normal run times.
+    :param dispatchers: number of dispatchers.
     """
 
     def __init__(self, targets=10, slots=4, mean=0.2, sigma=0.5, dispatchers=1, seed=1):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.mean, self.sigma = mean, sigma
         self.slots = targets * slots
         self.now = 0.0
         self.lives = {}
-        self.busy = Counter()
+        self.running = Counter()
         self.most_busy = 0
-        self._slots_each = slots
+        self._slots_per_target = slots
         self._events = []
         self._order = itertools.count()
         self._targets = tuple(
             build_target(f"t{number}", slots=slots) for number in range(targets)
         )
         self.dispatchers = [self._build(number) for number in range(dispatchers)]
-        self._push(TICK, None, "tick")
+        self._schedule(TICK, None, "tick")
 
     @property
     def bound(self):
-        """Return the units of cost a second that the targets can do."""
+        """Return the units of cost per second that the targets can serve."""
         return self.slots / self.mean
 
     def offer(self, rate, seconds, start=0.0, **changes):
-        """Let requests arrive at random, ``rate`` a second."""
-        now = start + self.chance.expovariate(rate)
-        while now < start + seconds:
+        """Schedule requests with Poisson arrivals.
+
+        :param rate: mean number of requests per second.
+        :param seconds: duration of the arrivals.
+        :param changes: values of the ask that differ from the defaults.
+        """
+        instant = start + self.rng.expovariate(rate)
+        while instant < start + seconds:
             name = f"r{next(self._order)}"
-            self._push(now, build_ask(name, **changes), "ask")
-            now += self.chance.expovariate(rate)
+            self._schedule(instant, build_ask(name, **changes), "ask")
+            instant += self.rng.expovariate(rate)
 
     def offer_one(self, at, **changes):
-        """Let one request arrive."""
+        """Schedule one request and return its id."""
         name = f"r{next(self._order)}"
-        self._push(at, build_ask(name, **changes), "ask")
+        self._schedule(at, build_ask(name, **changes), "ask")
         return name
 
     def run(self, until):
         while self._events and self._events[0][0] <= until:
-            self.now, _, event, what = heapq.heappop(self._events)
-            getattr(self, f"_on_{what}")(event)
+            self.now, _, event, kind = heapq.heappop(self._events)
+            getattr(self, f"_on_{kind}")(event)
         self.now = until
         return self
 
     def list_lives(self, **wanted):
-        """Return requests whose ask has certain values."""
+        """Return the requests whose ask has the given field values."""
         return [
-            life
-            for life in self.lives.values()
-            if all(getattr(life.ask, key) == value for key, value in wanted.items())
+            record
+            for record in self.lives.values()
+            if all(getattr(record.ask, key) == value for key, value in wanted.items())
         ]
 
     def count_goodput(self, start, end):
-        """Return the cost a second that ended in time, over the bound."""
+        """Return the cost per second finished in time, relative to the capacity."""
         done = sum(
-            life.ask.cost
-            for life in self.lives.values()
-            if life.in_time and start <= life.ended < end
+            record.ask.cost
+            for record in self.lives.values()
+            if record.in_time and start <= record.ended < end
         )
         return done / (end - start) / self.bound
 
     def count_by_account(self, start, end):
-        """Return the cost that ended in time, by account."""
+        """Return the cost finished in time, by account."""
         found = defaultdict(float)
-        for life in self.lives.values():
-            if life.in_time and start <= life.ended < end:
-                found[life.ask.account] += life.ask.cost
+        for record in self.lives.values():
+            if record.in_time and start <= record.ended < end:
+                found[record.ask.account] += record.ask.cost
         return found
 
     def _build(self, number):
@@ -119,28 +130,28 @@
         dispatcher.handle(TargetsChanged(self._targets, frozenset()), 0.0)
         return dispatcher
 
-    def _push(self, now, event, what):
-        heapq.heappush(self._events, (now, next(self._order), event, what))
+    def _schedule(self, instant, event, kind):
+        heapq.heappush(self._events, (instant, next(self._order), event, kind))
 
     def _on_tick(self, _):
         for dispatcher in self.dispatchers:
-            self._feed(dispatcher, Tick())
-        self._push(self.now + TICK, None, "tick")
+            self._handle(dispatcher, Tick())
+        self._schedule(self.now + TICK, None, "tick")
 
     def _on_ask(self, ask):
-        self.lives[ask.request] = Life(ask, self.now)
+        self.lives[ask.request] = RequestRecord(ask, self.now)
         number = len(self.lives) % len(self.dispatchers)
-        self._feed(self.dispatchers[number], ask)
+        self._handle(self.dispatchers[number], ask)
 
     def _on_release(self, item):
         dispatcher, grant, seconds = item
-        self.busy[grant.targets[0]] -= 1
+        self.running[grant.targets[0]] -= 1
         self.lives[grant.request].ended = self.now
         report = TargetReport(grant.targets[0], seconds)
         release = Release(grant.permit, BOOKINGS.name, "host-0", seconds, (report,))
-        self._feed(dispatcher, release)
+        self._handle(dispatcher, release)
 
-    def _feed(self, dispatcher, event):
+    def _handle(self, dispatcher, event):
         for action in dispatcher.handle(event, self.now):
             if not isinstance(action, Send):
                 continue
@@ -148,34 +159,34 @@
                 case Grant() as grant:
                     self._start(dispatcher, grant)
                 case Deny(request=request, retry_after=retry_after):
-                    life = self.lives[request]
-                    assert life.granted is None
-                    assert life.refused is None
-                    life.refused, life.retry_after = self.now, retry_after
+                    record = self.lives[request]
+                    assert record.granted is None
+                    assert record.refused is None
+                    record.refused, record.retry_after = self.now, retry_after
 
     def _start(self, dispatcher, grant):
-        """Run a request; a target that holds too many runs each more slowly."""
-        life = self.lives[grant.request]
-        assert life.granted is None
-        assert life.refused is None
-        life.granted = self.now
+        """Run a request, slowed in proportion if its target exceeds its slots."""
+        record = self.lives[grant.request]
+        assert record.granted is None
+        assert record.refused is None
+        record.granted = self.now
         name = grant.targets[0]
-        self.busy[name] += 1
-        self.most_busy = max(self.most_busy, self.busy[name])
-        crowd = max(1.0, self.busy[name] / self._slots_each)
+        self.running[name] += 1
+        self.most_busy = max(self.most_busy, self.running[name])
+        slowdown = max(1.0, self.running[name] / self._slots_per_target)
         mean_log = -(self.sigma**2) / 2.0
-        factor = self.chance.lognormvariate(mean_log, self.sigma)
-        seconds = life.ask.cost * self.mean * factor * crowd
-        self._push(self.now + seconds, (dispatcher, grant, seconds), "release")
+        factor = self.rng.lognormvariate(mean_log, self.sigma)
+        seconds = record.ask.cost * self.mean * factor * slowdown
+        self._schedule(self.now + seconds, (dispatcher, grant, seconds), "release")
 
 
 def get_quantile(values, level):
-    """Return a quantile; infinite where there are no values."""
+    """Return a quantile of the values, or infinity if there are none."""
     ordered = sorted(values)
     return ordered[int(level * (len(ordered) - 1))] if ordered else float("inf")
 
 
 def measure_fairness(values):
-    """Return Jain's index."""
+    """Return Jain's fairness index."""
     values = list(values)
     return sum(values) ** 2 / (len(values) * sum(item * item for item in values))
