--- a/marigoldswitch/tests/test_bookings.py
+++ b/marigoldswitch/tests/test_bookings.py
@@ -1,4 +1,4 @@
-"""Bookings through running hosts, judged by what the booking desk itself ran."""
+"""Bookings through running hosts, checked against the runs the service counted."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
     return sum(item.ran["pickup"] for item in deployment.services.values())
 
 
-def play(work):
+def run_scenario(work):
     async def run():
         async with run_deployment(settings=SETTINGS) as (deployment, session):
             return await work(deployment, session)
@@ -48,7 +48,7 @@
         calls = [book(deployment, session, host) for host in hosts]
         return await asyncio.gather(*calls), count_runs(deployment)
 
-    ends, runs = play(work)
+    ends, runs = run_scenario(work)
     assert runs == 1
     assert ends == [(200, {"confirmed": "pickup", "by": "desk-0"})] * 12
 
@@ -59,12 +59,12 @@
         first = await book(deployment, session, "host-0")
         return first, await book(deployment, session, "host-2"), count_runs(deployment)
 
-    first, again, runs = play(work)
+    first, again, runs = run_scenario(work)
     assert first[0] == again[0] == 200
     assert runs == 1
 
 
-def test_table_out_refuses_at_once_unsent_and_booking_works_after():
+def test_table_outage_refuses_bookings_unsent_and_they_work_afterwards():
     async def work(deployment, session):
         deployment.platform.faults.out = True
         ends = [await book(deployment, session, "host-0") for _ in range(3)]
@@ -75,7 +75,7 @@
             await asyncio.sleep(0.05)
         return ends, refused, count_runs(deployment)
 
-    ends, refused, runs = play(work)
+    ends, refused, runs = run_scenario(work)
     assert {end["kind"] for _, end in ends} == {"claims_unavailable"}
     assert {end["outcome"] for _, end in ends} == {"not_run"}
     assert (refused, runs) == (0, 1)
@@ -95,12 +95,12 @@
         stored = await book(deployment, session, "host-2")
         return first, again, stored, count_runs(deployment)
 
-    first, again, stored, runs = play(work)
+    first, again, stored, runs = run_scenario(work)
     assert first == again == stored == (200, {"confirmed": "pickup", "by": "desk-0"})
     assert runs == 1
 
 
-def test_booking_goes_on_when_its_caller_goes_away():
+def test_booking_continues_after_caller_disconnects():
     async def work(deployment, session):
         desk = deployment.services["desk-0"]
         desk.faults.delay = 0.3
@@ -112,12 +112,12 @@
         await wait_until(lambda: not front.held)
         return again, count_runs(deployment)
 
-    again, runs = play(work)
+    again, runs = run_scenario(work)
     assert again == (200, {"confirmed": "pickup", "by": "desk-0"})
     assert runs == 1
 
 
-def test_cancelling_a_booking_twice_does_not_break_it_off():
+def test_cancelling_a_booking_twice_does_not_abort_it():
     async def work(deployment, session):
         desk = deployment.services["desk-0"]
         desk.faults.delay = 0.3
@@ -131,7 +131,7 @@
         again = await book(deployment, session, "host-0")
         return told, first, again, count_runs(deployment)
 
-    told, (_, error), again, runs = play(work)
+    told, (_, error), again, runs = run_scenario(work)
     assert told == [True, True, False]
     assert (error["kind"], error["outcome"]) == ("cancelled", "may_have_run")
     assert again == (200, {"confirmed": "pickup", "by": "desk-0"})
@@ -145,7 +145,7 @@
         again = await book(deployment, session, "host-2")
         return first, again, count_runs(deployment)
 
-    (status, error), again, runs = play(work)
+    (status, error), again, runs = run_scenario(work)
     assert (status, error["outcome"]) == (504, "may_have_run")
     assert again == (200, {"confirmed": "pickup", "by": "desk-0"})
     assert runs == 1
@@ -157,7 +157,7 @@
         ends = [await book(deployment, session, host) for host in deployment.hosts]
         return ends, count_runs(deployment)
 
-    ends, runs = play(work)
+    ends, runs = run_scenario(work)
     assert [error["outcome"] for _, error in ends] == ["may_have_run"] * 3
     assert ends[1][1]["kind"] == ends[2][1]["kind"] == "outcome_unknown"
     assert runs == 1
@@ -175,7 +175,7 @@
         await wait_until(lambda: not desk.running)
         return again, count_runs(deployment)
 
-    (_, error), runs = play(work)
+    (_, error), runs = run_scenario(work)
     assert error["kind"] == "outcome_unknown"
     assert runs <= 1
 
@@ -190,7 +190,7 @@
         desk.faults.refuse = desk.faults.leaving = False
         return first, refused
 
-    (_, error), refused = play(work)
+    (_, error), refused = run_scenario(work)
     assert error["outcome"] == "not_run"
     assert refused == 0
 
@@ -206,7 +206,7 @@
         objects = [item for item in deployment.platform.objects if "answers/" in item]
         return first, again, len(objects)
 
-    first, again, objects = play(work)
+    first, again, objects = run_scenario(work)
     assert first == again
     assert objects == 1
 
@@ -220,7 +220,7 @@
         claims._settings = claims._settings.model_copy(update={"keep": 1e-9})
         return kept, await claims.sweep(["family"])
 
-    assert play(work) == (0, 1)
+    assert run_scenario(work) == (0, 1)
 
 
 def test_burst_of_bookings_is_committed_in_groups():
@@ -236,7 +236,7 @@
         await deployment.hosts["host-0"].parts.claims.flush()
         return [status for status, _ in ends], deployment.platform.writes - before
 
-    statuses, writes = play(work)
+    statuses, writes = run_scenario(work)
     assert statuses == [200] * 60
     assert writes <= 60
 
@@ -248,7 +248,7 @@
         own = await claims.fetch("family", "k")
         return own, await claims.fetch("another", "k")
 
-    own, other = play(work)
+    own, other = run_scenario(work)
     assert b"pickup" in own.unwrap()
     assert other.unwrap_err().kind is ErrorKind.NO_ANSWER
 
@@ -259,12 +259,12 @@
         end = await book(deployment, session, "host-0", key=None)
         return end, count_runs(deployment)
 
-    (_, error), runs = play(work)
+    (_, error), runs = run_scenario(work)
     assert error["outcome"] == "may_have_run"
     assert runs == 1
 
 
-def test_data_centre_cut_off_from_everything_never_runs_a_claimed_booking():
+def test_isolated_data_centre_never_runs_a_claimed_booking():
     async def work(deployment, session):
         desk = deployment.services["desk-0"]
         desk.faults.delay = 0.4
@@ -282,7 +282,7 @@
             await asyncio.sleep(0.05)
         return cut, alone, first, healed, count_runs(deployment)
 
-    cut, alone, first, healed, runs = play(work)
+    cut, alone, first, healed, runs = run_scenario(work)
     assert cut[0] in {200, 409}
     assert {error["kind"] for _, error in alone} <= {
         "claims_unavailable",
@@ -314,6 +314,6 @@
         claims._table = table
         return old.unwrap(), found
 
-    old, found = play(work)
+    old, found = run_scenario(work)
     assert decode_claim(old.value).state is ClaimState.HELD
     assert b"pickup" in found.unwrap()
--- a/marigoldswitch/tests/test_fronts.py
+++ b/marigoldswitch/tests/test_fronts.py
@@ -1,7 +1,8 @@
-"""Every request has exactly one end, whatever falls together; nothing is left held.
+"""Every request ends exactly once under any interleaving, and nothing is left held.
 
-Hypothesis chooses in which order cancel, loss of the caller, deadline, answers, faults
-and plain bugs reach a request; between two of them the loop runs on for some rounds.
+Hypothesis chooses the order in which cancellation, disconnection of the caller,
+deadline, answers, faults and bugs reach a request. Between two of them the event loop
+runs for some iterations.
 """
 
 import asyncio
@@ -38,33 +39,33 @@
 
 
 class FakeDispatching:
-    """Grants when told to; counts what is out."""
+    """Answers asks when told to, and records the permits that are held."""
 
     def __init__(self, target):
         self.target = target
         self.granted = 0
-        self.out = set()
-        self.asked = []
+        self.held_permits = set()
+        self.pending = []
         self.asks = []
-        self.strangers = []
+        self.unknown_targets = []
 
     async def acquire(self, ask):
         self.asks.append(ask)
         asked = asyncio.get_running_loop().create_future()
-        self.asked.append(asked)
+        self.pending.append(asked)
         verdict = await asked
         if isinstance(verdict, Fault):
             return Err(verdict)
         self.granted += 1
         permit = f"p{self.granted}"
-        self.out.add(permit)
-        targets = (self.strangers.pop() if self.strangers else self.target,)
+        self.held_permits.add(permit)
+        targets = (self.unknown_targets.pop() if self.unknown_targets else self.target,)
         return Ok(
             Grant(ask.request, ask.attempt, permit, ask.service, "host-0", targets)
         )
 
     def release(self, grant, seconds, reports):
-        self.out.discard(grant.permit)
+        self.held_permits.discard(grant.permit)
 
 
 class FakeTable:
@@ -89,7 +90,7 @@
 
 
 class FakeTargets:
-    """A plain service and a chain of engines whose replies the test gives."""
+    """A plain service and a chain of engines whose replies the test supplies."""
 
     def __init__(self):
         self.ran = 0
@@ -137,10 +138,10 @@
         pass
 
 
-class World:
+class FrontFixture:
     """One front with one request."""
 
-    def __init__(self, service, deadline, gone_at=None):
+    def __init__(self, service, deadline, disconnect_after=None):
         target = build_target("t", (0, 12) if service is DRAFTING else None)
         clock = SystemClock()
         self.service = service
@@ -180,19 +181,22 @@
             max_tokens=TOKENS,
         )
         self.events = []
-        self.gone_at = gone_at
+        self.disconnect_after = disconnect_after
 
     async def emit(self, event):
-        if self.gone_at is not None and len(self.events) >= self.gone_at:
+        if (
+            self.disconnect_after is not None
+            and len(self.events) >= self.disconnect_after
+        ):
             raise ConnectionResetError
         self.events.append(event)
 
     def apply(self, step):
         match step:
             case "grant":
-                self.decide(None)
+                self.answer_asks(None)
             case "deny":
-                self.decide(Fault(ErrorKind.SATURATED))
+                self.answer_asks(Fault(ErrorKind.SATURATED))
             case "answer":
                 self.targets.replies.put_nowait(Ok((Answer({"a": 1}), None)))
             case "lose":
@@ -213,12 +217,12 @@
     def reply(self, miss):
         self.targets.replies.put_nowait(Err(miss))
 
-    def decide(self, verdict):
-        for asked in self.dispatching.asked:
+    def answer_asks(self, verdict):
+        for asked in self.dispatching.pending:
             if not asked.done():
                 asked.set_result(verdict)
 
-    async def play(self, steps):
+    async def run_steps(self, steps):
         run = self.front.run(self.request, self.bundle, self.emit)
         self.task = asyncio.create_task(run)
         for step, rounds in steps:
@@ -226,7 +230,7 @@
             for _ in range(rounds):
                 await asyncio.sleep(0)
         while not self.task.done() or self.front.held:
-            self.decide(None)
+            self.answer_asks(None)
             self.reply(Miss(Delivery.MAY_HAVE_RUN, "lost"))
             await asyncio.sleep(0)
         await self.claims.flush()
@@ -239,7 +243,7 @@
         assert len(ends) == 1 or (gone and not ends)
         assert not ends or self.events[-1] is ends[0]
         assert not self.front.held
-        assert not self.dispatching.out
+        assert not self.dispatching.held_permits
         assert not len(self.claims.own)
         assert self.front.breaches == 0
         if not self.service.idempotent:
@@ -268,19 +272,19 @@
 )
 def test_one_end_under_any_interleaving(service, steps, deadline, gone_at):
     async def run():
-        world = World(service, deadline, gone_at)
-        (result,) = await world.play(steps)
+        world = FrontFixture(service, deadline, gone_at)
+        (result,) = await world.run_steps(steps)
         world.check(result)
 
     asyncio.run(run())
 
 
-def test_target_that_only_a_newer_bundle_has_is_given_back():
+def test_permit_for_target_of_newer_bundle_is_released():
     async def run():
-        world = World(BOOKINGS, 5.0)
-        world.dispatching.strangers = ["new"]
+        world = FrontFixture(BOOKINGS, 5.0)
+        world.dispatching.unknown_targets = ["new"]
         steps = [("grant", 20), ("grant", 20), ("answer", 20)]
-        (result,) = await world.play([("table", 1), *steps])
+        (result,) = await world.run_steps([("table", 1), *steps])
         world.check(result)
         return [ask.avoid for ask in world.dispatching.asks], world.events
 
--- a/marigoldswitch/tests/test_security.py
+++ b/marigoldswitch/tests/test_security.py
@@ -1,4 +1,4 @@
-"""TLS that reloads, listeners that do not wait for ever, and rows that are junk."""
+"""TLS reloading, time limits of listeners, and malformed input from every side."""
 
 import asyncio
 import datetime
@@ -30,7 +30,7 @@
 
 
 def write_certificate(folder, name):
-    """Write a certificate signed by itself and its key; return the file names."""
+    """Write a self-signed certificate and its key; return the file names."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     now = datetime.datetime.now(datetime.UTC)
@@ -59,8 +59,8 @@
     return str(files[0]), str(files[1])
 
 
-async def show_certificate(port):
-    """Return the name in the certificate that a listener shows."""
+async def fetch_certificate_name(port):
+    """Return the subject of the certificate that a listener presents."""
     context = ssl.create_default_context()
     context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
     _, writer = await asyncio.open_connection(
@@ -84,7 +84,7 @@
     return Settings.model_validate(content | sections)
 
 
-def test_certificates_change_without_a_restart_and_never_by_half(tmp_path):
+def test_certificates_reload_without_restart_and_only_as_valid_pairs(tmp_path):
     certificate, key = write_certificate(tmp_path, "one")
     tls = {
         f"{listener}_{name}": file
@@ -96,14 +96,14 @@
         host = compose_host(build_settings(tls=tls))
         await host.start()
         ports = [host.ports["callers"], host.ports["administration"]]
-        seen = [await show_certificate(port) for port in ports]
+        seen = [await fetch_certificate_name(port) for port in ports]
         watched = host.parts.tls.callers
         write_certificate(tmp_path, "two")
         (tmp_path / "key.pem").write_text("half written")
-        seen += [watched.look(), await show_certificate(ports[0])]
+        seen += [watched.reload_if_changed(), await fetch_certificate_name(ports[0])]
         write_certificate(tmp_path, "three")
-        seen += [watched.look(), await show_certificate(ports[0])]
-        seen.append(watched.look())
+        seen += [watched.reload_if_changed(), await fetch_certificate_name(ports[0])]
+        seen.append(watched.reload_if_changed())
         await host.stop()
         return seen
 
@@ -140,8 +140,8 @@
                     b"Host: x\r\nContent-Length: 100\r\n\r\nhalf"),
     ],
 )  # fmt: skip
-def test_connections_that_keep_waiting_are_closed(listener, head):
-    """Also one that is idle after an answer, and one whose body never comes."""
+def test_slow_or_idle_connections_are_closed(listener, head):
+    """Includes a connection that is idle after an answer and a body that never ends."""
     requests = {"head_seconds": 0.05, "body_seconds": 0.05}
 
     async def play():
@@ -157,7 +157,7 @@
     run_async(play(), 20.0)
 
 
-def test_slow_answer_is_no_idle_connection():
+def test_connection_that_awaits_slow_answer_stays_open():
     requests = {"head_seconds": 0.05}
 
     async def play():
@@ -172,11 +172,11 @@
     assert run_async(play()) == 200
 
 
-JUNK = st.binary(max_size=64)
+MALFORMED_BYTES = st.binary(max_size=64)
 
 
-@given(JUNK)
-def test_junk_in_rows_and_answers_is_refused(value):
+@given(MALFORMED_BYTES)
+def test_malformed_rows_and_answers_are_rejected(value):
     for decode in (decode_draft, decode_record, decode_lease):
         with pytest.raises(ValueError, match="."):
             decode(value)
@@ -198,12 +198,12 @@
         ),
     )
 )
-def test_junk_from_engines_is_no_report(state):
+def test_malformed_engine_state_does_not_break_parsing(state):
     report = parse_report(state)
     assert report is None or isinstance(report.busy, int)
 
 
-def test_junk_in_a_drain_row_still_drains():
+def test_malformed_drain_row_still_drains():
     async def play():
         platform = FakePlatform()
         drains = Drains(platform)
@@ -223,7 +223,7 @@
         (100).to_bytes(4, "big") + b"\x00" * 100,
     ],
 )
-def test_junk_on_the_peers_listener_ends_its_connection(junk):
+def test_malformed_bytes_close_peer_connection(junk):
     async def play():
         host = compose_host(build_settings())
         await host.start()
@@ -239,8 +239,8 @@
     assert run_async(play(), 20.0) == (1, 0)
 
 
-class _Junk:
-    """A platform that answers with junk."""
+class _MalformedPlatform:
+    """A platform that answers every request with malformed content."""
 
     def __init__(self, content):
         self.content = content
@@ -252,10 +252,12 @@
 @pytest.mark.parametrize(
     "content", [b"", b"[]", b"{}", b'{"row":1}', b'{"hosts":[{}]}', b'{"rows":[1]}']
 )
-def test_junk_from_the_platform_counts_as_no_answer(content):
+def test_malformed_platform_reply_counts_as_no_answer(content):
     async def play():
         application = aiohttp.web.Application()
-        application.router.add_route("*", "/{tail:.*}", _Junk(content).handle)
+        application.router.add_route(
+            "*", "/{tail:.*}", _MalformedPlatform(content).handle
+        )
         runner = aiohttp.web.AppRunner(application)
         await runner.setup()
         await aiohttp.web.TCPSite(runner, LOOPBACK, 0).start()
