--- a/marigoldswitch/tests/test_fronts.py
+++ b/marigoldswitch/tests/test_fronts.py
@@ -139,7 +139,7 @@
 
 
 class FrontFixture:
-    """One front with one request."""
+    """One front with one request and fakes for all that it calls."""
 
     def __init__(self, service, deadline, disconnect_after=None):
         target = build_target("t", (0, 12) if service is DRAFTING else None)
@@ -214,8 +214,8 @@
             case "reply_lost":
                 self.table.faults.append(StoreFault.UNKNOWN)
 
-    def reply(self, miss):
-        self.targets.replies.put_nowait(Err(miss))
+    def reply(self, failure):
+        self.targets.replies.put_nowait(Err(failure))
 
     def answer_asks(self, verdict):
         for asked in self.dispatching.pending:
@@ -268,25 +268,25 @@
         max_size=8,
     ),
     deadline=st.sampled_from([0.0, 0.0005, 0.002, 5.0]),
-    gone_at=st.sampled_from([None, None, 0, 1, 2]),
+    disconnect_after=st.sampled_from([None, None, 0, 1, 2]),
 )
-def test_one_end_under_any_interleaving(service, steps, deadline, gone_at):
+def test_one_end_under_any_interleaving(service, steps, deadline, disconnect_after):
     async def run():
-        world = FrontFixture(service, deadline, gone_at)
-        (result,) = await world.run_steps(steps)
-        world.check(result)
+        fixture = FrontFixture(service, deadline, disconnect_after)
+        (result,) = await fixture.run_steps(steps)
+        fixture.check(result)
 
     asyncio.run(run())
 
 
 def test_permit_for_target_of_newer_bundle_is_released():
     async def run():
-        world = FrontFixture(BOOKINGS, 5.0)
-        world.dispatching.unknown_targets = ["new"]
+        fixture = FrontFixture(BOOKINGS, 5.0)
+        fixture.dispatching.unknown_targets = ["new"]
         steps = [("grant", 20), ("grant", 20), ("answer", 20)]
-        (result,) = await world.run_steps([("table", 1), *steps])
-        world.check(result)
-        return [ask.avoid for ask in world.dispatching.asks], world.events
+        (result,) = await fixture.run_steps([("table", 1), *steps])
+        fixture.check(result)
+        return [ask.avoid for ask in fixture.dispatching.asks], fixture.events
 
     avoided, events = asyncio.run(run())
     assert avoided == [(), ("new",)]
--- a/marigoldswitch/tests/test_security.py
+++ b/marigoldswitch/tests/test_security.py
@@ -92,7 +92,7 @@
         for name, file in (("certificate", certificate), ("key", key))
     }
 
-    async def play():
+    async def scenario():
         host = compose_host(build_settings(tls=tls))
         await host.start()
         ports = [host.ports["callers"], host.ports["administration"]]
@@ -107,7 +107,7 @@
         await host.stop()
         return seen
 
-    assert run_async(play()) == [
+    assert run_async(scenario()) == [
         "CN=one",
         "CN=one",
         False,
@@ -144,7 +144,7 @@
     """Includes a connection that is idle after an answer and a body that never ends."""
     requests = {"head_seconds": 0.05, "body_seconds": 0.05}
 
-    async def play():
+    async def scenario():
         host = compose_host(build_settings(requests=requests))
         await host.start()
         reader, writer = await asyncio.open_connection(LOOPBACK, host.ports[listener])
@@ -154,13 +154,13 @@
         writer.close()
         await host.stop()
 
-    run_async(play(), 20.0)
+    run_async(scenario(), 20.0)
 
 
 def test_connection_that_awaits_slow_answer_stays_open():
     requests = {"head_seconds": 0.05}
 
-    async def play():
+    async def scenario():
         arguments = {"data_centres": ("hobart",), "settings": {"requests": requests}}
         async with run_deployment(**arguments) as (deployment, session):
             deployment.services["desk-0"].faults.delay = 0.4
@@ -169,7 +169,7 @@
             async with session.post(address + path, json={"input": {}}) as response:
                 return response.status
 
-    assert run_async(play()) == 200
+    assert run_async(scenario()) == 200
 
 
 MALFORMED_BYTES = st.binary(max_size=64)
@@ -204,14 +204,14 @@
 
 
 def test_malformed_drain_row_still_drains():
-    async def play():
+    async def scenario():
         platform = FakePlatform()
         drains = Drains(platform)
         platform.rows["drains", "e0"] = Row(b"\xc1", 1)
         assert await drains.look()
         return list(drains.marked)
 
-    assert run_async(play()) == ["e0"]
+    assert run_async(scenario()) == ["e0"]
 
 
 @pytest.mark.parametrize(
@@ -224,7 +224,7 @@
     ],
 )
 def test_malformed_bytes_close_peer_connection(junk):
-    async def play():
+    async def scenario():
         host = compose_host(build_settings())
         await host.start()
         reader, writer = await asyncio.open_connection(LOOPBACK, host.ports["peers"])
@@ -236,7 +236,7 @@
         await host.stop()
         return counts["garbage"], counts["received"]
 
-    assert run_async(play(), 20.0) == (1, 0)
+    assert run_async(scenario(), 20.0) == (1, 0)
 
 
 class _MalformedPlatform:
@@ -253,7 +253,7 @@
     "content", [b"", b"[]", b"{}", b'{"row":1}', b'{"hosts":[{}]}', b'{"rows":[1]}']
 )
 def test_malformed_platform_reply_counts_as_no_answer(content):
-    async def play():
+    async def scenario():
         application = aiohttp.web.Application()
         application.router.add_route(
             "*", "/{tail:.*}", _MalformedPlatform(content).handle
@@ -271,4 +271,4 @@
         await runner.cleanup()
         return version
 
-    assert run_async(play()) == 0
+    assert run_async(scenario()) == 0
