--- a/marigoldswitch/tests/mesh.py
+++ b/marigoldswitch/tests/mesh.py
@@ -1,4 +1,4 @@
-"""Several hosts' dispatching on a manual clock, with messages in memory."""
+"""Dispatching of several hosts on a manual clock, with messages in memory."""
 
 import asyncio
 from collections import Counter, deque
@@ -13,7 +13,7 @@
 
 
 class MemoryNetwork:
-    """One host's way to the others; messages may be dropped by a test."""
+    """Fake peer network of one host, which queues its messages in the mesh."""
 
     def __init__(self, mesh, host):
         self.host = host
@@ -29,7 +29,7 @@
 
 
 class FixedView:
-    """Live hosts as a test sets them."""
+    """Fake member view, whose live hosts are set by the test."""
 
     def __init__(self, own, members):
         self.own = own
@@ -43,20 +43,23 @@
     def watch(self, listener):
         self._listeners.append(listener)
 
-    def set(self, members):
+    def set_members(self, members):
         self.members = members
         for listener in self._listeners:
             listener()
 
 
 class Mesh:
-    """Hosts by name, each with its data centre."""
+    """Dispatching of several hosts that exchange messages in memory.
+
+    :param places: data centre of each host.
+    """
 
     def __init__(self, places, targets, links=None, services=(BOOKINGS,)):
         self.clock = ManualClock()
         self.queue = deque()
-        self.cut = set()
-        """Hosts that neither send nor get anything, as if dead."""
+        self.isolated = set()
+        """Hosts that neither send nor receive messages, as if dead."""
         self.drop = lambda sender, host, message: False
         self.hosts, self.views = {}, {}
         self._networks = {}
@@ -71,7 +74,7 @@
         self.hosts[name] = Dispatching(self.clock, network, view, 0.5)
         members = {host: item.own for host, item in self.views.items()}
         for item in self.views.values():
-            item.set(members)
+            item.set_members(members)
 
     def use_bundle(self, targets, links, services=(BOOKINGS,)):
         bundle = Bundle(
@@ -81,15 +84,15 @@
         for host in self.hosts.values():
             host.use_bundle(bundle)
 
-    def lose(self, name):
-        """Let the members see that a host is gone."""
+    def remove_member(self, name):
+        """Remove a host from the live hosts in all views."""
         for view in self.views.values():
             left = {host: m for host, m in view.members.items() if host != name}
-            view.set(left)
+            view.set_members(left)
 
     def find_owner(self, pool, service=BOOKINGS.name):
-        """Return the host whose dispatcher of a pool the live hosts ask."""
-        live = next(name for name in self.hosts if name not in self.cut)
+        """Return the host that dispatches a pool in the view of the live hosts."""
+        live = next(name for name in self.hosts if name not in self.isolated)
         topology = self.hosts[live]._topology
         key = next(k for k in topology.pools if k == type(k)(service, pool))
         return topology.get_dispatcher(key)
@@ -100,10 +103,10 @@
         return next(d for key, d in found if key == type(key)(service, pool))
 
     async def settle(self):
-        """Deliver what is on its way, until no task has anything left to do.
+        """Deliver queued messages until no task is ready to run.
 
-        The loop's own list tells: 200 turns whatever was left made 6.4 million turns of
-        one random test, 15 s.
+        Checking the event loop's ready list ends the loop early: always running 200
+        iterations added up to 6.4 million, or 15 s, in one random test.
         """
         ready = asyncio.get_running_loop()._ready
         for _ in range(200):
@@ -112,24 +115,24 @@
                 return
             while self.queue:
                 sender, host, message = self.queue.popleft()
-                if {sender, host} & self.cut or self.drop(sender, host, message):
+                if {sender, host} & self.isolated or self.drop(sender, host, message):
                     continue
                 handler = self._networks[host].handlers[type(message)]
                 handler(sender, message)
 
     async def run(self, seconds):
-        """Let time pass in steps."""
+        """Advance the clock in steps of one tick, and run the hosts at each."""
         end = self.clock.now + seconds - 1e-9
         while self.clock.now < end:
             await self.settle()
             self.clock.advance(TICK_SECONDS)
             for name, host in self.hosts.items():
-                if name not in self.cut:
+                if name not in self.isolated:
                     host.tick()
         await self.settle()
 
     def ask(self, host, request, **changes):
-        """Begin to acquire a permit."""
+        """Start to acquire a permit; return the task."""
         changes.setdefault("data_centre", self.views[host].own.data_centre)
         ask = build_ask(request, host, **changes)
         return asyncio.ensure_future(self.hosts[host].acquire(ask))
@@ -137,18 +140,18 @@
     def release(self, host, grant, seconds=1.0):
         self.hosts[host].release(grant, seconds, ())
 
-    def count_out(self):
-        """Return the permits that live hosts hold on each target."""
+    def count_held(self):
+        """Return the number of permits that live hosts hold on each target."""
         return Counter(
             target
             for name, host in self.hosts.items()
-            if name not in self.cut
+            if name not in self.isolated
             for grant in host.held.values()
             for target in grant.targets
         )
 
     async def finish(self, asks):
-        """Release whatever is granted until all asks are answered."""
+        """Release all granted permits until every ask is answered."""
         for _ in range(400):
             for host in self.hosts.values():
                 for grant in list(host.held.values()):
@@ -157,11 +160,11 @@
                 await self.settle()
                 return
             await self.run(TICK_SECONDS)
-        raise AssertionError("asks are left without an answer")
+        raise AssertionError("some asks were not answered")
 
 
 def drop_first(kind, count=1):
-    """Return a rule that loses the first few messages of a kind."""
+    """Return a rule that drops the first ``count`` messages of a kind."""
     left = [count]
 
     def drop(sender, host, message):
@@ -174,11 +177,11 @@
 
 
 def list_grants(asks) -> list[Grant]:
-    """Return the grants among asks that are done."""
+    """Return the grants of the asks that were granted."""
     done = [ask.result() for ask in asks if ask.done()]
     return [result.ok_value for result in done if result.is_ok()]
 
 
 def move_target(target, place):
-    """Return a target in another data centre."""
+    """Return a copy of a target in another data centre."""
     return replace(target, data_centre=place)
--- a/marigoldswitch/tests/test_dispatching.py
+++ b/marigoldswitch/tests/test_dispatching.py
@@ -1,4 +1,4 @@
-"""Permits between hosts: pools, loss of a dispatcher, lost messages, spill."""
+"""Dispatching across hosts: pools, dispatcher failure, lost messages, spill."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from marigoldswitch.tests.helpers import build_target, run_async
 from marigoldswitch.tests.mesh import Mesh, drop_first, list_grants
 
-THREE = {"host-0": "hobart", "host-1": "hobart", "host-2": "hobart"}
+THREE_HOSTS = {"host-0": "hobart", "host-1": "hobart", "host-2": "hobart"}
 LINKS = {
     ("hobart", "launceston"): 0.0005,
     ("launceston", "hobart"): 0.0005,
@@ -23,7 +23,7 @@
     ]
 
 
-async def fill(mesh, host, count, prefix="f"):
+async def start_asks(mesh, host, count, prefix="f"):
     asks = [mesh.ask(host, f"{prefix}{n}", remaining=30.0) for n in range(count)]
     await mesh.run(0.05)
     return asks
@@ -35,9 +35,9 @@
     return next(name for name in mesh.hosts if name != owner)
 
 
-def test_target_is_granted_by_one_dispatcher_only():
-    async def play():
-        places = THREE | {"host-3": "launceston"}
+def test_each_target_is_granted_by_one_dispatcher_only():
+    async def scenario():
+        places = THREE_HOSTS | {"host-3": "launceston"}
         targets = build_targets(2) + build_targets(2, "launceston")
         mesh = Mesh(places, targets, LINKS)
         asks = [
@@ -46,11 +46,11 @@
             for host in ("host-0", "host-3")
         ]
         await mesh.run(0.2)
-        out = mesh.count_out()
+        out = mesh.count_held()
         await mesh.finish(asks)
-        return out, mesh.count_out()
+        return out, mesh.count_held()
 
-    out, after = run_async(play())
+    out, after = run_async(scenario())
     assert out == dict.fromkeys(out, 2)
     assert len(out) == 4
     assert not after
@@ -58,15 +58,15 @@
 
 @pytest.mark.parametrize("known_at", [0.1, 5.0])
 def test_loss_of_the_dispatcher_adds_less_than_a_second_and_fails_nothing(known_at):
-    async def play():
-        mesh = Mesh(THREE, build_targets(6))
+    async def scenario():
+        mesh = Mesh(THREE_HOSTS, build_targets(6))
         front = find_front(mesh)
-        holding = await fill(mesh, front, 12)
-        waiting = await fill(mesh, front, 3, "w")
+        holding = await start_asks(mesh, front, 12)
+        waiting = await start_asks(mesh, front, 3, "w")
         assert len(list_grants(holding)) == 12
         assert not list_grants(waiting)
         owner = mesh.find_owner("hobart")
-        mesh.cut.add(owner)
+        mesh.isolated.add(owner)
         for ask in holding:
             mesh.release(front, ask.result().ok_value)
         began = mesh.clock.now
@@ -76,18 +76,18 @@
             await mesh.run(0.05)
             if not lost and mesh.clock.now - began >= known_at:
                 lost = True
-                mesh.lose(owner)
+                mesh.remove_member(owner)
         seconds = mesh.clock.now - began
-        out = mesh.count_out()
+        out = mesh.count_held()
         granted = len(list_grants([*waiting, late]))
-        mesh.lose(owner)
+        mesh.remove_member(owner)
         await mesh.run(1.0)
         counted = len(mesh.get_dispatcher("hobart").permits)
         await mesh.finish([])
         await mesh.run(1.0)
         return granted, seconds, out, counted, mesh.get_dispatcher("hobart").permits
 
-    granted, seconds, out, counted, left = run_async(play())
+    granted, seconds, out, counted, left = run_async(scenario())
     assert granted == 4
     assert seconds < 1.0
     assert all(count <= 2 for count in out.values())
@@ -96,31 +96,31 @@
 
 
 def test_local_choices_of_all_hosts_stay_within_the_limits():
-    async def play():
-        mesh = Mesh(THREE, build_targets(6))
+    async def scenario():
+        mesh = Mesh(THREE_HOSTS, build_targets(6))
         owner = mesh.find_owner("hobart")
-        mesh.cut.add(owner)
+        mesh.isolated.add(owner)
         asks = [
             mesh.ask(host, f"{host}-{n}")
-            for host in THREE
+            for host in THREE_HOSTS
             if host != owner
             for n in range(20)
         ]
         await mesh.run(1.0)
-        out = mesh.count_out()
-        mesh.lose(owner)
+        out = mesh.count_held()
+        mesh.remove_member(owner)
         await mesh.finish(asks)
         return out, list_grants(asks)
 
-    out, grants = run_async(play())
-    assert sum(out.values()) == 12  # All: the lost host's part is shared out.
+    out, grants = run_async(scenario())
+    assert sum(out.values()) == 12  # All slots: the lost host gets no share.
     assert all(count <= 2 for count in out.values())
     assert len(grants) == 40
 
 
 def test_late_grant_that_crosses_the_local_one_is_given_back():
-    async def play():
-        mesh = Mesh(THREE, build_targets(6))
+    async def scenario():
+        mesh = Mesh(THREE_HOSTS, build_targets(6))
         owner, front = mesh.find_owner("hobart"), find_front(mesh)
         mesh.drop = lambda sender, host, message: sender == owner
         ask = mesh.ask(front, "r")
@@ -136,7 +136,7 @@
         await mesh.run(1.0)
         return local, held, counted, mesh.get_dispatcher("hobart").permits
 
-    local, held, counted, left = run_async(play())
+    local, held, counted, left = run_async(scenario())
     assert local.permit in held
     assert counted == held
     assert not left
@@ -144,63 +144,76 @@
 
 @pytest.mark.parametrize("kind", [Ask, Grant, Queued, Release])
 def test_lost_messages_leak_no_permit_and_lose_no_request(kind):
-    async def play():
-        mesh = Mesh(THREE, build_targets(1))
+    async def scenario():
+        mesh = Mesh(THREE_HOSTS, build_targets(1))
         front = find_front(mesh)
         mesh.drop = drop_first(kind, 2)
-        asks = await fill(mesh, front, 4)
+        asks = await start_asks(mesh, front, 4)
         await mesh.finish(asks)
         await mesh.run(15.0)
         return list_grants(asks), mesh.get_dispatcher("hobart").permits
 
-    grants, left = run_async(play())
+    grants, left = run_async(scenario())
     assert len(grants) == 4
     assert not left
 
 
 def test_planned_stop_hands_over_without_a_wait_or_a_loss():
-    async def play():
-        mesh = Mesh(THREE, build_targets(2))
+    async def scenario():
+        mesh = Mesh(THREE_HOSTS, build_targets(2))
         owner, front = mesh.find_owner("hobart"), find_front(mesh)
-        holding = await fill(mesh, front, 4)
-        waiting = await fill(mesh, front, 3, "w") + await fill(mesh, owner, 1, "o")
+        holding = await start_asks(mesh, front, 4)
+        waiting = await start_asks(mesh, front, 3, "w") + await start_asks(
+            mesh, owner, 1, "o"
+        )
         mesh.hosts[owner].hand_over()
         await mesh.run(0.1)
-        heir = mesh.find_owner("hobart")
+        new_owner = mesh.find_owner("hobart")
         counted = len(mesh.get_dispatcher("hobart").permits)
         queued = len(mesh.get_dispatcher("hobart").waiting)
-        over = [len(mesh.hosts[owner].dispatchers.owned), mesh.count_out()]
+        handed_over = [len(mesh.hosts[owner].dispatchers.owned), mesh.count_held()]
         mesh.release(front, holding[0].result().ok_value)
         await mesh.run(0.05)
         first = len(list_grants(waiting))
         await mesh.finish(waiting)
         left = mesh.get_dispatcher("hobart").permits
-        return owner, heir, counted, queued, over, first, list_grants(waiting), left
-
-    owner, heir, counted, queued, over, first, grants, left = run_async(play())
-    assert heir != owner
+        return (
+            owner,
+            new_owner,
+            counted,
+            queued,
+            handed_over,
+            first,
+            list_grants(waiting),
+            left,
+        )
+
+    owner, new_owner, counted, queued, handed_over, first, grants, left = run_async(
+        scenario()
+    )
+    assert new_owner != owner
     assert (counted, queued, first) == (4, 4, 1)
-    assert over == [0, {"hobart-0": 2, "hobart-1": 2}]
+    assert handed_over == [0, {"hobart-0": 2, "hobart-1": 2}]
     assert len(grants) == 4
     assert not left
 
 
 def test_host_that_joins_and_takes_a_pool_over_counts_what_is_held():
-    async def play():
+    async def scenario():
         mesh = Mesh({"host-0": "hobart"}, build_targets(2))
-        holding = await fill(mesh, "host-0", 4)
-        waiting = await fill(mesh, "host-0", 2, "w")
+        holding = await start_asks(mesh, "host-0", 4)
+        waiting = await start_asks(mesh, "host-0", 2, "w")
         for number in range(1, 6):
             mesh.add_host(f"host-{number}", "hobart")
             mesh.hosts[f"host-{number}"].use_bundle(mesh.hosts["host-0"]._bundle)
         await mesh.run(1.0)
         owner = mesh.find_owner("hobart")
         counted = len(mesh.get_dispatcher("hobart").permits)
-        out = mesh.count_out()
+        out = mesh.count_held()
         await mesh.finish([*holding, *waiting])
         return owner, counted, out, list_grants(waiting)
 
-    owner, counted, out, grants = run_async(play())
+    owner, counted, out, grants = run_async(scenario())
     assert owner != "host-0"
     assert counted == 4
     assert set(out.values()) == {2}
@@ -208,11 +221,11 @@
 
 
 def test_service_that_vanishes_ends_its_requests_and_leaks_nothing():
-    async def play():
-        mesh = Mesh(THREE, build_targets(1))
+    async def scenario():
+        mesh = Mesh(THREE_HOSTS, build_targets(1))
         front = find_front(mesh)
-        holding = await fill(mesh, front, 2)
-        waiting = await fill(mesh, front, 2, "w")
+        holding = await start_asks(mesh, front, 2)
+        waiting = await start_asks(mesh, front, 2, "w")
         mesh.use_bundle([], {}, ())
         await mesh.run(0.1)
         kinds = [ask.result().err_value.kind for ask in waiting]
@@ -220,42 +233,42 @@
             mesh.release(front, ask.result().ok_value)
         await mesh.run(0.1)
         owned = [len(host.dispatchers.owned) for host in mesh.hosts.values()]
-        return kinds, owned, mesh.count_out()
+        return kinds, owned, mesh.count_held()
 
-    kinds, owned, out = run_async(play())
+    kinds, owned, out = run_async(scenario())
     assert kinds == [ErrorKind.NO_TARGET] * 2
     assert owned == [0, 0, 0]
     assert not out
 
 
 def test_full_pool_spills_to_the_other_data_centre_and_a_cut_off_one_goes_on():
-    async def play():
+    async def scenario():
         places = {"host-0": "hobart", "host-1": "launceston"}
         targets = build_targets(1) + build_targets(1, "launceston")
         mesh = Mesh(places, targets, LINKS)
-        asks = await fill(mesh, "host-0", 4)
-        spilled = mesh.count_out()
+        asks = await start_asks(mesh, "host-0", 4)
+        spilled = mesh.count_held()
         await mesh.finish(asks)
-        mesh.cut.add("host-1")
-        mesh.lose("host-1")
-        alone = await fill(mesh, "host-0", 2, "a")
-        return spilled, mesh.count_out(), list_grants(alone)
+        mesh.isolated.add("host-1")
+        mesh.remove_member("host-1")
+        alone = await start_asks(mesh, "host-0", 2, "a")
+        return spilled, mesh.count_held(), list_grants(alone)
 
-    spilled, out, alone = run_async(play())
+    spilled, out, alone = run_async(scenario())
     assert spilled["hobart-0"] == 2
     assert out == {"hobart-0": 2}
     assert len(alone) == 2
 
 
 def test_cancelled_request_leaves_the_queue():
-    async def play():
-        mesh = Mesh(THREE, build_targets(1))
+    async def scenario():
+        mesh = Mesh(THREE_HOSTS, build_targets(1))
         front = find_front(mesh)
-        await fill(mesh, front, 2)
-        waiting = await fill(mesh, front, 1, "w")
+        await start_asks(mesh, front, 2)
+        waiting = await start_asks(mesh, front, 1, "w")
         waiting[0].cancel()
         await asyncio.gather(*waiting, return_exceptions=True)
         await mesh.run(0.1)
         return len(mesh.get_dispatcher("hobart").waiting)
 
-    assert run_async(play()) == 0
+    assert run_async(scenario()) == 0
--- a/marigoldswitch/tests/test_dispatching_random.py
+++ b/marigoldswitch/tests/test_dispatching_random.py
@@ -1,4 +1,4 @@
-"""Any order of asks, lost messages, deaths and hand-overs leaks no permit."""
+"""No sequence of asks, lost messages, host failures and hand-overs leaks a permit."""
 
 from hypothesis import given, strategies as st
 
@@ -22,8 +22,8 @@
 )
 
 
-class Player:
-    """Plays steps on a mesh; at least two hosts stay alive."""
+class StepRunner:
+    """Performs steps on a mesh; at least two hosts stay alive."""
 
     def __init__(self):
         targets = [
@@ -45,9 +45,9 @@
 
     @property
     def alive(self):
-        return [name for name in PLACES if name not in self.mesh.cut]
+        return [name for name in PLACES if name not in self.mesh.isolated]
 
-    async def play(self, what, host, number):
+    async def perform(self, what, host, number):
         if host not in self.alive:
             return
         match what:
@@ -66,9 +66,9 @@
             case "drop":
                 self.to_drop += number
             case "die" if len(self.alive) > 2:
-                self.mesh.cut.add(host)
+                self.mesh.isolated.add(host)
                 await self.mesh.run(0.5)
-                self.mesh.lose(host)
+                self.mesh.remove_member(host)
             case "hand_over":
                 self.mesh.hosts[host].hand_over()
             case "wait":
@@ -76,7 +76,7 @@
         await self.mesh.settle()
 
     async def finish(self):
-        """Serve what is left, and return what dispatchers still count."""
+        """Serve the remaining asks; return counted permits, held ones, and faults."""
         self.to_drop = 0
         left = [ask for host, ask in self.asks if host in self.alive]
         await self.mesh.finish(left)
@@ -98,13 +98,13 @@
 
 @given(STEPS)
 def test_nothing_leaks_and_no_request_fails(steps):
-    async def play():
-        player = Player()
+    async def scenario():
+        runner = StepRunner()
         for step in steps:
-            await player.play(*step)
-        return await player.finish()
+            await runner.perform(*step)
+        return await runner.finish()
 
-    counted, held, faults = run_async(play())
+    counted, held, faults = run_async(scenario())
     assert not counted
     assert not held
     assert not faults
--- a/marigoldswitch/tests/test_gossip.py
+++ b/marigoldswitch/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Membership on real sockets: what is dropped, keys in rotation, joining."""
+"""Membership on real sockets: invalid datagrams, rotation of secrets, joining."""
 
 import asyncio
 import secrets as random_secrets
@@ -26,7 +26,7 @@
 
 
 class GossipHost:
-    """The membership of one host with its listeners."""
+    """The membership of one host with its UDP and TCP listeners."""
 
     def __init__(self, name: str, secrets=("new", "old"), seeds=()) -> None:
         settings = PeerSettings(secrets=secrets, seeds=seeds, probe_period=0.05)
@@ -59,8 +59,8 @@
         await self.network.stop()
 
 
-def test_strange_datagrams_are_dropped_and_counted():
-    async def play():
+def test_invalid_datagrams_are_dropped_and_counted():
+    async def scenario():
         host = await GossipHost("host-0").start()
         sender = Sender(HostId("host-1"), 1, Incarnation(1))
         ping = encode_datagram(Ping(sender, host.record.host, 1, 0))
@@ -82,7 +82,7 @@
         await host.stop()
         return host
 
-    host = run_async(play())
+    host = run_async(scenario())
     counts = host.gossip.count_all()
     assert counts["garbage"] == 1
     assert counts["oversized"] == 1
@@ -92,7 +92,7 @@
 
 
 def test_hosts_join_by_a_seed_with_keys_in_rotation_but_not_with_a_wrong_one():
-    async def play():
+    async def scenario():
         first = await GossipHost("host-0", secrets=("old", "new")).start()
         seeds = (f"{LOOPBACK}:{first.port}",)
         second = await GossipHost("host-1", secrets=("new", "old"), seeds=seeds).start()
@@ -106,11 +106,11 @@
         return views
 
     both = {"host-0", "host-1"}
-    assert run_async(play()) == [both, both, {"host-2"}]
+    assert run_async(scenario()) == [both, both, {"host-2"}]
 
 
-def test_cut_hosts_find_each_other_again_and_a_moved_one_is_taken():
-    async def play():
+def test_partitioned_hosts_rejoin_and_a_moved_host_is_located():
+    async def scenario():
         first = await GossipHost("host-0").start()
         seeds = (f"{LOOPBACK}:{first.port}",)
         second = await GossipHost("host-1", seeds=seeds).start()
@@ -134,11 +134,11 @@
         await first.stop()
         await moved.stop()
 
-    run_async(play())
+    run_async(scenario())
 
 
 def test_host_joins_and_serves_while_the_host_list_lags_and_names_a_wrong_address():
-    async def play():
+    async def scenario():
         deployment = Deployment(data_centres=("hobart", "hobart"))
         await deployment.start()
         wrong = deployment.platform.hosts["host-0"]["address"]
@@ -151,4 +151,4 @@
         await deployment.stop()
         return names
 
-    assert run_async(play()) == {frozenset({"host-0", "host-1", "host-2"})}
+    assert run_async(scenario()) == {frozenset({"host-0", "host-1", "host-2"})}
--- a/marigoldswitch/tests/test_wire.py
+++ b/marigoldswitch/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Messages come back as they were sent; garbage comes back as an error."""
+"""Messages survive encoding and decoding; malformed bytes yield an error."""
 
 from hypothesis import given, strategies as st
 from result import Err, Ok
@@ -33,13 +33,13 @@
 ]
 
 
-def test_messages_come_back_as_they_were():
+def test_decoding_restores_each_message():
     for message in SAMPLES:
         assert CODEC.decode(CODEC.encode(message)) == Ok(message)
 
 
 @given(st.binary(max_size=200))
-def test_garbage_is_an_error(data):
+def test_malformed_bytes_are_an_error(data):
     assert isinstance(CODEC.decode(data), Err)
 
 
