--- a/marigoldswitch/tests/test_dispatching.py
+++ b/marigoldswitch/tests/test_dispatching.py
@@ -171,7 +171,7 @@
         new_owner = mesh.find_owner("hobart")
         counted = len(mesh.get_dispatcher("hobart").permits)
         queued = len(mesh.get_dispatcher("hobart").waiting)
-        handed_over = [len(mesh.hosts[owner].dispatchers.owned), mesh.count_held()]
+        after = [len(mesh.hosts[owner].dispatchers.owned), mesh.count_held()]
         mesh.release(front, holding[0].result().ok_value)
         await mesh.run(0.05)
         first = len(list_grants(waiting))
@@ -182,18 +182,18 @@
             new_owner,
             counted,
             queued,
-            handed_over,
+            after,
             first,
             list_grants(waiting),
             left,
         )
 
-    owner, new_owner, counted, queued, handed_over, first, grants, left = run_async(
+    owner, new_owner, counted, queued, after, first, grants, left = run_async(
         scenario()
     )
     assert new_owner != owner
     assert (counted, queued, first) == (4, 4, 1)
-    assert handed_over == [0, {"hobart-0": 2, "hobart-1": 2}]
+    assert after == [0, {"hobart-0": 2, "hobart-1": 2}]
     assert len(grants) == 4
     assert not left
 
--- a/marigoldswitch/tests/test_gossip.py
+++ b/marigoldswitch/tests/test_gossip.py
@@ -65,7 +65,7 @@
         sender = Sender(HostId("host-1"), 1, Incarnation(1))
         ping = encode_datagram(Ping(sender, host.record.host, 1, 0))
         wrong = encode_datagram(Ping(sender, HostId("host-7"), 1, 0))
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
             for data in (
                 b"",
                 b"x" * 20,
@@ -75,7 +75,7 @@
                 seal(b"new", wrong) + wrong,
                 seal(b"old", ping) + ping,
             ):
-                stranger.sendto(data, (LOOPBACK, host.port))
+                client.sendto(data, (LOOPBACK, host.port))
             counts = host.gossip.counts
             await wait_until(lambda: counts["received"] == 2)
             await wait_until(lambda: counts["unauthenticated"] >= 2)
