--- a/marigoldswitch/tests/test_load.py
+++ b/marigoldswitch/tests/test_load.py
@@ -121,7 +121,7 @@
     assert sum(life.in_time for life in started) >= 0.9 * len(started)
 
 
-def test_caller_that_comes_back_when_told_is_let_in():
+def test_caller_that_retries_after_the_stated_wait_is_admitted():
     play = Play()
     play.offer(2.0 * play.bound, 10.0, account="a", remaining=5.0)
     play.run(10.0)
@@ -132,7 +132,7 @@
     assert play.lives[name].in_time
 
 
-def test_pool_that_grows_slow_refuses_early_what_it_will_not_reach():
+def test_slowing_pool_refuses_early_what_it_cannot_serve_in_time():
     play = Play()
     for number in range(10):
         play.offer(2.0 * play.bound, 10.0, account=f"a{number}", remaining=20.0)
@@ -140,9 +140,9 @@
     play.mean *= 10.0
     play.run(60.0)
     lives = play.list_lives()
-    let_in = [life for life in lives if life.refused and life.refused > life.arrived]
-    left = [life.ask.remaining - (life.refused - life.arrived) for life in let_in]
-    assert let_in
+    queued_then_refused = [life for life in lives if life.refused and life.refused > life.arrived]
+    left = [life.ask.remaining - (life.refused - life.arrived) for life in queued_then_refused]
+    assert queued_then_refused
     assert get_quantile(left, 0.1) > 5.0
     started = [life for life in lives if life.granted is not None]
     assert sum(life.in_time for life in started) >= 0.9 * len(started)
--- a/marigoldswitch/tests/test_logs.py
+++ b/marigoldswitch/tests/test_logs.py
@@ -68,9 +68,9 @@
     return content
 
 
-def test_reader_that_takes_nothing_never_holds_the_writer_up():
+def test_reader_that_does_not_read_never_blocks_the_writer():
     reader, writer = os.pipe()
-    stream = BoundedStream(writer, most=50_000)
+    stream = BoundedStream(writer, max_pending_bytes=50_000)
     for number in range(20_000):
         stream.write(f"line {number}\n")
     assert stream.dropped > 0
--- a/marigoldswitch/tests/test_settings.py
+++ b/marigoldswitch/tests/test_settings.py
@@ -9,7 +9,7 @@
 from marigoldswitch.tools.pages import format_settings_page
 
 DOCS = Path(__file__).parents[2] / "docs"
-FINE = {
+MINIMAL_SETTINGS = {
     "host": "entry-1",
     "data_centre": "hobart",
     "region": "tas",
@@ -18,19 +18,19 @@
 }
 
 
-def test_smallest_settings_are_fine():
-    assert isinstance(parse_settings("f", FINE), Ok)
+def test_minimal_settings_are_valid():
+    assert isinstance(parse_settings("f", MINIMAL_SETTINGS), Ok)
 
 
 def test_all_faults_are_named_at_once():
-    wrong = FINE | {"listen": {"callers": 70000}, "colour": 1, "host": ""}
+    wrong = MINIMAL_SETTINGS | {"listen": {"callers": 70000}, "colour": 1, "host": ""}
     result = parse_settings("f.yaml", wrong)
     assert isinstance(result, Err)
     keys = sorted(line.split(": ")[1].split(" ")[0] for line in result.err_value)
     assert keys == ["colour", "host", "listen.callers"]
 
 
-def test_wrong_file_ends_with_its_status(tmp_path, capsys):
+def test_invalid_file_ends_with_its_status(tmp_path, capsys):
     path = tmp_path / "settings.yaml"
     path.write_text("host: [")
     assert serve(path, check=True) == WRONG_SETTINGS_STATUS
