--- a/marigoldswitch/tests/conftest.py
+++ b/marigoldswitch/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Set-up of all tests: hypothesis with the same examples every time, known failures."""
+"""Configuration of all tests: deterministic hypothesis examples, known failures."""
 
 import re
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Let the tests that ``KNOWN-RED.txt`` names fail, and no others."""
+    """Mark the tests listed in ``KNOWN-RED.txt`` as expected failures."""
     text = KNOWN_RED.read_text() if KNOWN_RED.exists() else ""
     red = set(re.findall(r"^(test_\w+\.py::\w+)", text, re.MULTILINE))
     for item in items:
--- a/marigoldswitch/tests/fakes.py
+++ b/marigoldswitch/tests/fakes.py
@@ -1,4 +1,4 @@
-"""The platform in memory, with outages and lost answers, for tests of decisions."""
+"""In-memory platform with outages and lost answers, and operators that sign steps."""
 
 import hashlib
 from dataclasses import dataclass, field
@@ -21,10 +21,12 @@
 
 @dataclass
 class FakePlatform:
-    """Table service, object store and host list behind one switch.
+    """Table service, object store and host list in memory.
 
-    :param lose: answers of coming writes that are lost after the effect.
-    :param drop: coming writes that are lost before the effect, with the same fault.
+    :param out: whether every call fails as unavailable.
+    :param lose: number of next writes that take effect but whose answer is lost.
+    :param drop: number of next writes that are lost without effect; the fault is the
+        same as with ``lose``.
     """
 
     rows: dict = field(default_factory=dict)
@@ -94,7 +96,7 @@
 
 @dataclass
 class FakeOperator:
-    """An operator with both keys."""
+    """An operator with a bearer key and a signing key."""
 
     name: str
     signer: object = field(default_factory=make_private_key)
@@ -110,7 +112,10 @@
 
 
 async def carry_through(releases, content, ana, ben, seen=0):
-    """Take a bundle through its whole life cycle."""
+    """Submit, review, sign off and accept a bundle.
+
+    :param seen: version in force that the operators have seen.
+    """
     draft = await releases.submit(content, ana.sign(Step.SUBMIT, digest(content), seen))
     assert draft.is_ok(), draft
     return await finish(releases, digest(content), ana, ben, seen)
@@ -129,7 +134,7 @@
 
 
 def build_content(mark=""):
-    """Return the smallest bundle in its canonical form; each mark has its own."""
+    """Return a minimal bundle in canonical form; each mark gives a different one."""
     yaml = f"""
 brands: {{dollhouse: {{applications: {{bookings: bookings}}}}}}
 pipelines:
--- a/marigoldswitch/tests/helpers.py
+++ b/marigoldswitch/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders that several tests share."""
+"""Builders and runners that several tests share."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -73,7 +73,7 @@
 
 
 def run_async(work: Coroutine[Any, Any, Any], seconds: float = 60.0) -> Any:
-    """Run a coroutine; the bound is there to end a test that hangs."""
+    """Run a coroutine; fail a test that hangs for longer than ``seconds``."""
 
     async def bounded() -> Any:
         return await asyncio.wait_for(work, seconds)
@@ -82,7 +82,7 @@
 
 
 def run_virtually(work: Callable[[VirtualTime], Coroutine[Any, Any, Any]]) -> Any:
-    """Run a coroutine function on virtual time, which is given to it as its clock."""
+    """Run a coroutine function in virtual time, which it gets as its clock."""
     time = VirtualTime()
     try:
         return time.loop.run_until_complete(work(time))
@@ -92,7 +92,7 @@
 
 @asynccontextmanager
 async def run_deployment(**arguments: Any):
-    """Run a deployment with its bundle in force and a caller's session."""
+    """Run a deployment with its bundle in force; yield it and a caller's session."""
     deployment = Deployment(**arguments)
     await deployment.start()
     try:
@@ -105,7 +105,7 @@
 
 
 async def wait_until(condition: Callable[[], bool], seconds: float = 20.0) -> None:
-    """Wait until something holds; fail if it does not come to hold."""
+    """Wait until a condition holds; fail if it doesn't within ``seconds``."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.005)
--- a/marigoldswitch/tests/test_core.py
+++ b/marigoldswitch/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core imports nothing that does input or output or reads a clock."""
+"""The core imports no module that does I/O or reads a clock."""
 
 import ast
 from pathlib import Path
--- a/marigoldswitch/tests/test_load.py
+++ b/marigoldswitch/tests/test_load.py
@@ -1,4 +1,4 @@
-"""What callers get from a dispatcher under each pattern of load."""
+"""Goodput, waits, refusals and fairness of a dispatcher under various loads."""
 
 import pytest
 
@@ -140,9 +140,9 @@
     play.mean *= 10.0
     play.run(60.0)
     lives = play.list_lives()
-    queued_then_refused = [life for life in lives if life.refused and life.refused > life.arrived]
-    left = [life.ask.remaining - (life.refused - life.arrived) for life in queued_then_refused]
-    assert queued_then_refused
+    queued = [life for life in lives if life.refused and life.refused > life.arrived]
+    left = [life.ask.remaining - (life.refused - life.arrived) for life in queued]
+    assert queued
     assert get_quantile(left, 0.1) > 5.0
     started = [life for life in lives if life.granted is not None]
     assert sum(life.in_time for life in started) >= 0.9 * len(started)
--- a/marigoldswitch/tests/test_logs.py
+++ b/marigoldswitch/tests/test_logs.py
@@ -1,4 +1,5 @@
-"""Logs name each routing decision and never a key, a prompt or an answer."""
+"""Every routing decision is logged, but no key, prompt or answer; a log that is not
+read never blocks the process."""
 
 import io
 import os
--- a/marigoldswitch/tests/test_metrics.py
+++ b/marigoldswitch/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Every metric is documented, and the examples name only metrics there are."""
+"""Every metric is documented, and the examples name only existing metrics."""
 
 import json
 import re
--- a/marigoldswitch/tests/test_settings.py
+++ b/marigoldswitch/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole, and every fault names its key."""
+"""Settings are validated as a whole, and every error names its key."""
 
 from pathlib import Path
 
