--- a/marigoldswitch/tests/fakes.py
+++ b/marigoldswitch/tests/fakes.py
@@ -24,9 +24,9 @@
     """Table service, object store and host list in memory.
 
     :param out: whether every call fails as unavailable.
-    :param lose: number of next writes that take effect but whose answer is lost.
-    :param drop: number of next writes that are lost without effect; the fault is the
-        same as with ``lose``.
+    :param lose: number of next transactions that take effect but whose answer is lost.
+    :param drop: number of next transactions that are lost without effect; the fault is
+        the same as with ``lose``.
     """
 
     rows: dict = field(default_factory=dict)
