--- a/marigoldswitch/tests/test_logs.py
+++ b/marigoldswitch/tests/test_logs.py
@@ -1,4 +1,5 @@
-"""Logs name each routing decision and never a key, a prompt or an answer."""
+"""Every routing decision is logged, but no key, prompt or answer; a log that is not
+read never blocks the process."""
 
 import io
 import os
@@ -68,9 +69,9 @@
     return content
 
 
-def test_reader_that_takes_nothing_never_holds_the_writer_up():
+def test_reader_that_does_not_read_never_blocks_the_writer():
     reader, writer = os.pipe()
-    stream = BoundedStream(writer, most=50_000)
+    stream = BoundedStream(writer, max_pending_bytes=50_000)
     for number in range(20_000):
         stream.write(f"line {number}\n")
     assert stream.dropped > 0
