--- a/marigoldswitch/tests/test_administration.py
+++ b/marigoldswitch/tests/test_administration.py
@@ -1,4 +1,4 @@
-"""Operators: who may do what, clear answers to bad input, and the tool's statuses."""
+"""Operators' interface: roles, answers to invalid input, and the tool's exit codes."""
 
 import asyncio
 import io
@@ -60,7 +60,7 @@
 
 
 class SharedHost:
-    """One deployment for many calls."""
+    """A deployment that many tests share, with calls to its first host."""
 
     def __init__(self, loop, deployment):
         self.loop = loop
@@ -82,7 +82,7 @@
         return self.loop.run_until_complete(work())
 
     def send(self, path, body, headers, key):
-        """Send a caller's request."""
+        """Send a request to the callers' listener."""
         address = self.deployment.get_address("host-0", "callers")
         headers = headers | {"Authorization": f"Bearer {key}"}
 
@@ -122,16 +122,16 @@
         }
     )
 
-    def judge(header, role):
+    def authorise(header, role):
         result = directory.authorise(header, role)
         return result.unwrap().id if result.is_ok() else result.unwrap_err().status
 
-    assert judge("Bearer vera", "viewer") == "vera"
-    assert judge("bearer rita", "reviewer") == "rita"
-    assert judge("Bearer vera", "reviewer") == 403
-    assert judge("Bearer rita", "releaser") == 403
+    assert authorise("Bearer vera", "viewer") == "vera"
+    assert authorise("bearer rita", "reviewer") == "rita"
+    assert authorise("Bearer vera", "reviewer") == 403
+    assert authorise("Bearer rita", "releaser") == 403
     for header in ("", "Bearer", "Bearer eve", "Basic vera", "vera", "Bearer \ud800"):
-        assert judge(header, "viewer") == 401
+        assert authorise(header, "viewer") == 401
 
 
 def test_differences_name_each_path():
@@ -143,7 +143,7 @@
 def test_operators_work_from_a_bundle_to_a_drained_target(
     tmp_path, capsys, monkeypatch
 ):
-    """The whole way by the tool, as two operators."""
+    """Two operators release a bundle and drain a target with the command-line tool."""
     log = io.StringIO()
     configure_logs(stream=log)
 
@@ -153,7 +153,7 @@
             session,
         ):
             work = _Operators(deployment, tmp_path, capsys, monkeypatch)
-            return await work.play(session, log)
+            return await work.run_scenario(session, log)
 
     run_async(play())
 
@@ -166,7 +166,7 @@
         self.environment = monkeypatch
 
     async def run(self, operator, command, *arguments, **options):
-        """Run a command as an operator; return its status and what it printed."""
+        """Run a command as an operator; return its exit code and its output."""
         address = self.deployment.get_address("host-1", "administration")
         signer = self.folder / f"{operator}.pem"
         signer.write_bytes(format_private_key(self.deployment.signers[operator]))
@@ -178,7 +178,7 @@
         printed = self.capsys.readouterr()
         return status, printed.out + printed.err
 
-    async def play(self, session, log):
+    async def run_scenario(self, session, log):
         bundle = self.folder / "two.yaml"
         content = self.deployment.build_bundle(
             pipelines={
@@ -257,7 +257,7 @@
 
 
 def test_request_in_flight_keeps_the_bundle_it_began_with():
-    """Its service is gone from the new bundle before it is answered."""
+    """A new bundle removes the request's service before the request is answered."""
 
     async def play():
         async with run_deployment(data_centres=("hobart",)) as (deployment, session):
@@ -291,7 +291,7 @@
     content=st.binary(max_size=60) | st.text(max_size=60).map(str.encode),
     header=st.text(st.characters(min_codepoint=33, max_codepoint=126), max_size=20),
 )
-def test_callers_junk_is_refused_as_not_run(shared_host, content, header):
+def test_malformed_calls_are_refused_as_not_run(shared_host, content, header):
     key = shared_host.deployment.caller_key
     headers = {"Request-Timeout": header, "Idempotency-Key": header}
     status, body = shared_host.send(LETTERS_PATH, content, headers, key)
@@ -300,7 +300,7 @@
 
 
 def test_orders_reload_an_engine_while_requests_run():
-    """A bundle adds an adapter: each engine is drained, ordered and taken back."""
+    """A bundle adds an adapter: each engine is drained, reloaded and undrained."""
     orders = {"tick": 0.05, "lease": 1.0, "margin": 0.2, "settle": 0.5, "loads": 99}
     settings = {"orders": orders, "platform": {"poll": 0.1, "poll_others": 0.2}}
 
@@ -347,7 +347,7 @@
         assert changes == [0], "one order that changes it, while it ran nothing"
 
 
-def test_tool_names_mistakes_without_a_trace(tmp_path, capsys, monkeypatch):
+def test_tool_reports_mistakes_without_a_traceback(tmp_path, capsys, monkeypatch):
     for name in (Variable.KEY, Variable.ADDRESS, Variable.SIGNING_KEY):
         monkeypatch.delenv(name, raising=False)
     assert control.check(tmp_path / "none.yaml") == Exit.MISTAKE
--- a/marigoldswitch/tests/test_bundles.py
+++ b/marigoldswitch/tests/test_bundles.py
@@ -1,4 +1,4 @@
-"""Bundles are checked whole: every fault at once, and nothing crashes the reader."""
+"""Validation of bundles: all faults are reported at once, and no input crashes it."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 from marigoldswitch.bundles import parse_bundle
 from marigoldswitch.core.catalogue import LayerRange, ServiceKind
 from marigoldswitch.core.chains import count_chains, find_gap
-from marigoldswitch.documents import MOST_BYTES, read_document, write_document
+from marigoldswitch.documents import MAX_BYTES, read_document, write_document
 from marigoldswitch.settings import parse_settings
 from marigoldswitch.tests.fakes import build_content
 
@@ -24,7 +24,7 @@
         ("muebla", "redactor", {"scl-quilicura", "scl-pudahuel", "scl-maipu"}),
     ],
 )
-def test_examples_are_fine(name, model, data_centres):
+def test_examples_are_valid(name, model, data_centres):
     bundle = parse_bundle((EXAMPLES / f"{name}.yaml").read_bytes(), 1).unwrap()
     services = {service.kind: service.name for service in bundle.services.values()}
     assert services[ServiceKind.MODEL] == model
@@ -87,7 +87,7 @@
         (b"[" * 50_000, ["nest"]),
         (b"[" * 30 + b"]" * 30, ["nested deeper"]),
         (b"a: " + b"9" * 5000, ["longer than"]),
-        (b"x" * (MOST_BYTES + 1), ["bytes"]),
+        (b"x" * (MAX_BYTES + 1), ["bytes"]),
         (b"[]", ["a bundle is a mapping, not list"]),
         (b"", ["a bundle is a mapping, not NoneType"]),
         (b"\xff\xfe\x00", ["no YAML"]),
@@ -97,7 +97,7 @@
         (b"links: 0x" + b"f" * 3900, ["a number of 15600 bits"]),
     ],
 )
-def test_hostile_documents_are_refused(content, expected):
+def test_malicious_documents_are_refused(content, expected):
     lines = "\n".join(parse_bundle(content, 1).unwrap_err())
     assert all(part in lines for part in expected), lines
 
@@ -133,7 +133,7 @@
 
 
 @given(st.binary(max_size=200) | st.text(max_size=200).map(str.encode))
-def test_any_bytes_give_an_answer(content):
+def test_any_bytes_give_a_result(content):
     assert isinstance(read_document(content, "f"), Ok | Err)
     assert isinstance(parse_bundle(content, 1), Err)
 
@@ -145,7 +145,7 @@
     st.text(max_size=4),
     VALUES,
 )
-def test_any_part_gives_an_answer(section, name, value):
+def test_any_part_gives_a_result(section, name, value):
     for damaged in ({section: value}, {section: {name: value}}):
         document = yaml.safe_load(build_content()) | damaged
         content = write_document(document)
@@ -167,7 +167,7 @@
 
 
 @given(RANGES)
-def test_chains_are_counted_by_trying_all(pairs):
+def test_chain_count_matches_exhaustive_search(pairs):
     ranges = [LayerRange(*pair) for pair in pairs]
 
     def most(left: list[tuple[int, int]]) -> int:
--- a/marigoldswitch/tests/test_releases.py
+++ b/marigoldswitch/tests/test_releases.py
@@ -1,4 +1,4 @@
-"""Bundles: signed steps, races, lost answers, and adoption that never goes back."""
+"""Release of bundles: signed steps, races, lost answers, and monotonic adoption."""
 
 import asyncio
 import random
@@ -48,16 +48,16 @@
     return Releases(platform, platform, OPERATORS)
 
 
-def play(work):
+def run(work):
     return asyncio.run(work)
 
 
 def test_life_cycle_ends_in_a_record_that_every_host_can_verify():
     platform = FakePlatform()
     releases = build_releases(platform)
-    record = play(carry_through(releases, ONE, ANA, BEN)).unwrap()
+    record = run(carry_through(releases, ONE, ANA, BEN)).unwrap()
     assert record.version == 1
-    assert record == play(releases.read_accepted()).unwrap()
+    assert record == run(releases.read_accepted()).unwrap()
     assert record == decode_record(encode_record(record))
     assert [item.operator for item in record.endorsements] == [
         "ana",
@@ -65,11 +65,11 @@
         "ben",
         "ben",
     ]
-    assert play(releases.list_drafts()).unwrap() == []
-    assert play(releases.list_history(5)).unwrap() == [record]
+    assert run(releases.list_drafts()).unwrap() == []
+    assert run(releases.list_history(5)).unwrap() == [record]
 
 
-def test_steps_cannot_be_skipped_or_taken_alone_or_by_strangers():
+def test_steps_cannot_be_skipped_or_taken_by_one_operator_or_unknown_ones():
     async def work():
         releases = build_releases(FakePlatform())
         name = digest(ONE)
@@ -93,7 +93,7 @@
         return faults
 
     fault = ReleaseFault
-    assert play(work()) == [
+    assert run(work()) == [
         fault.UNKNOWN_DRAFT,
         fault.SIGNATURE,
         fault.SIGNATURE,
@@ -114,22 +114,22 @@
         name = digest(changed)
         return await releases.accept(name, 1, BEN.sign(Step.ACCEPT, name, 2))
 
-    assert play(work()).unwrap_err().fault is ReleaseFault.UNKNOWN_DRAFT
+    assert run(work()).unwrap_err().fault is ReleaseFault.UNKNOWN_DRAFT
 
 
-def test_loser_of_a_race_learns_who_won():
+def test_operator_who_loses_a_race_is_told_who_won():
     async def work():
         releases = build_releases(FakePlatform())
         (await carry_through(releases, ONE, ANA, BEN)).unwrap()
         return await carry_through(releases, TWO, BEN, ANA, seen=0)
 
-    refusal = play(work()).unwrap_err()
+    refusal = run(work()).unwrap_err()
     assert refusal.fault is ReleaseFault.CONFLICT
     assert "ben was faster: version 1" in refusal.lines[0]
 
 
-class TurnTakingPlatform(FakePlatform):
-    """Gives way before each call, so that operators' steps mix."""
+class YieldingPlatform(FakePlatform):
+    """Yields before each call, so that concurrent operators' steps interleave."""
 
     async def read(self, table, key):
         await asyncio.sleep(0)
@@ -142,13 +142,13 @@
 
 def test_of_two_who_accept_at_once_one_wins_and_one_is_told():
     async def work():
-        platform = TurnTakingPlatform()
+        platform = YieldingPlatform()
         first, second = build_releases(platform), build_releases(platform)
         return await asyncio.gather(
             carry_through(first, ONE, ANA, BEN), carry_through(second, TWO, BEN, ANA)
         )
 
-    results = play(work())
+    results = run(work())
     assert sorted(item.is_ok() for item in results) == [False, True]
     loser = next(item for item in results if item.is_err()).unwrap_err()
     assert loser.fault is ReleaseFault.CONFLICT
@@ -168,13 +168,13 @@
         again = await releases.accept(name, 1, acceptance)
         return record, dropped, again
 
-    record, dropped, again = play(work())
+    record, dropped, again = run(work())
     assert record.unwrap().version == 1
     assert dropped.unwrap_err().fault is ReleaseFault.UNSETTLED
     assert again.unwrap().version == 2
 
 
-def test_going_back_is_a_new_version_with_old_content():
+def test_rollback_is_a_new_version_with_old_content():
     async def work():
         releases = build_releases(FakePlatform())
         (await carry_through(releases, ONE, ANA, BEN)).unwrap()
@@ -183,7 +183,7 @@
         back = await releases.accept(name, 2, BEN.sign(Step.ACCEPT, name, 3))
         return back.unwrap(), (await releases.list_history(2)).unwrap()
 
-    back, history = play(work())
+    back, history = run(work())
     assert (back.version, back.digest) == (3, digest(ONE))
     assert [item.version for item in history] == [3, 2]
 
@@ -194,7 +194,7 @@
         (await carry_through(releases, ONE, ANA, BEN)).unwrap()
         return await carry_through(releases, ONE, BEN, ANA, seen=1)
 
-    record = play(work()).unwrap()
+    record = run(work()).unwrap()
     assert record.version == 2
     assert record.endorsements[0].operator == "ben"
 
@@ -211,7 +211,7 @@
         renewed = await finish(releases, name, ANA, BEN, 1)
         return stale, renewed
 
-    stale, renewed = play(work())
+    stale, renewed = run(work())
     assert stale.unwrap_err().fault is ReleaseFault.SIGNATURE
     assert renewed.unwrap().version == 2
 
@@ -220,17 +220,17 @@
 @pytest.mark.parametrize(
     "value", [b"", b"\xc1", b"\x01", b"\x94\x01\xa1a\x90\xa0", b"\x93\xa1a\x90\xa0"]
 )
-def test_rows_that_are_none_are_refused(decode, value):
+def test_malformed_rows_are_refused(decode, value):
     with pytest.raises(ValueError, match="no |steps are missing"):
         decode(value)
 
 
-class Net:
-    """Messages between hosts; a host may be cut off."""
+class FakeNetwork:
+    """Delivers messages between hosts in memory; hosts can be disconnected."""
 
     def __init__(self):
         self.followers = {}
-        self.cut = set()
+        self.disconnected = set()
         self.queue = deque()
         self.sent = []
 
@@ -243,21 +243,21 @@
         return send
 
     def deliver(self, most=1_000_000):
-        """Deliver the oldest messages; those after them come late."""
+        """Deliver up to ``most`` of the oldest messages; the others stay queued."""
         for _ in range(min(most, len(self.queue))):
             sender, host, message = self.queue.popleft()
-            if {sender, host} & self.cut or host not in self.followers:
+            if {sender, host} & self.disconnected or host not in self.followers:
                 continue
             match message:
                 case FetchBundle():
                     self.followers[host].tell_bundle(sender, message)
                 case BundleContent():
                     self.followers[host].take_bundle(sender, message)
-                    play(self.followers[host].take_offers())
+                    run(self.followers[host].adopt_pending())
 
 
 class FixedView(MemberView):
-    """A view that a test sets."""
+    """A member view that the test sets."""
 
     def show(self, members):
         self._members = members
@@ -281,7 +281,7 @@
 
 
 def show_members(net):
-    """Give each host the view that gossip would."""
+    """Give each host the member view that gossip would produce."""
     members = {
         name: Member(name, DataCentre("hobart"), "", bundle=item.adoption.version)
         for name, item in net.followers.items()
@@ -290,19 +290,19 @@
         follower._view.show(members)
 
 
-def test_replaced_host_gets_the_highest_its_peers_know_while_the_platform_is_out():
-    platform, net = FakePlatform(), Net()
+def test_new_host_gets_the_highest_version_from_peers_while_the_platform_is_out():
+    platform, net = FakePlatform(), FakeNetwork()
     one, other = (build_follower(name, platform, net) for name in ("h1", "h2"))
-    play(carry_through(build_releases(platform), ONE, ANA, BEN))
-    play(one.look())
-    play(carry_through(build_releases(platform), TWO, ANA, BEN, seen=1))
-    play(other.look())
+    run(carry_through(build_releases(platform), ONE, ANA, BEN))
+    run(one.look())
+    run(carry_through(build_releases(platform), TWO, ANA, BEN, seen=1))
+    run(other.look())
     platform.out = True
     fresh = build_follower("h3", platform, net)
     show_members(net)
-    play(fresh.look())
+    run(fresh.look())
     for _ in range(10):
-        fresh.ask_peers()
+        fresh.query_peers()
         net.deliver()
         net.deliver()
     assert fresh.adoption.version == 2
@@ -310,27 +310,27 @@
 
 def test_older_bundle_that_is_verified_at_the_same_time_does_not_win():
     async def work():
-        platform, net = FakePlatform(), Net()
+        platform, net = FakePlatform(), FakeNetwork()
         releases = build_releases(platform)
         one = (await carry_through(releases, ONE, ANA, BEN)).unwrap()
         two = (await carry_through(releases, TWO, ANA, BEN, seen=1)).unwrap()
         follower = build_follower("h1", platform, net)
         used = []
         follower.watch_bundle(lambda bundle: used.append(bundle.version))
-        newer = follower.adopt(two, pack_content(TWO))
-        older = follower.adopt(one, pack_content(ONE))
+        newer = follower.verify_and_adopt(two, pack_content(TWO))
+        older = follower.verify_and_adopt(one, pack_content(ONE))
         return await asyncio.gather(newer, older), used
 
-    assert play(work()) == ([True, False], [2])
+    assert run(work()) == ([True, False], [2])
 
 
 def test_forged_bundles_are_refused_whoever_sends_them():
-    platform, net = FakePlatform(), Net()
+    platform, net = FakePlatform(), FakeNetwork()
     follower = build_follower("h1", platform, net)
     fake = FakePlatform()
-    crooked = {item.name: item.settings for item in (ANA, EVE)}
-    forged = play(carry_through(Releases(fake, fake, crooked), TWO, ANA, EVE)).unwrap()
-    true = play(carry_through(build_releases(platform), ONE, ANA, BEN)).unwrap()
+    untrusted = {item.name: item.settings for item in (ANA, EVE)}
+    forged = run(carry_through(Releases(fake, fake, untrusted), TWO, ANA, EVE)).unwrap()
+    true = run(carry_through(build_releases(platform), ONE, ANA, BEN)).unwrap()
     content = BundleContent(9, encode_record(forged), pack_content(TWO))
     follower.take_bundle("h2", content)
     follower.take_bundle("h2", BundleContent(9, b"junk", TWO))
@@ -338,32 +338,32 @@
     follower.take_bundle("h2", BundleContent(9, encode_record(true), other))
     bomb = zlib.compress(b"0" * 50_000_000)
     follower.take_bundle("h2", BundleContent(9, encode_record(true), bomb))
-    play(follower.take_offers())
+    run(follower.adopt_pending())
     assert follower.adoption.version == 0
     assert follower.refused == 4
     platform.rows["bundles", "accepted"] = fake.rows["bundles", "accepted"]
     platform.objects |= fake.objects
-    play(follower.look())
+    run(follower.look())
     assert follower.adoption.version == 0
 
 
 HOSTS = ["h1", "h2", "h3", "h4"]
 
 
-class BundlesEverywhere(RuleBasedStateMachine):
-    """Operators, hosts that restart, outages and lost answers, in any order."""
+class BundleDistribution(RuleBasedStateMachine):
+    """Releases, host restarts, outages and lost answers in random order."""
 
     @initialize()
     def start(self):
         self.platform = FakePlatform()
-        self.net = Net()
+        self.net = FakeNetwork()
         self.used = {}
         self.accepted = {}
         self.count = 0
         self.contents = {}
         for name in HOSTS:
             self.start_host(name)
-        self.change_in_peace(["h1"])
+        self.release_while_healthy(["h1"])
 
     def start_host(self, name):
         follower = build_follower(name, self.platform, self.net)
@@ -374,18 +374,21 @@
             follower.watch_bundle(seen.append)
 
     @rule(names=st.lists(st.sampled_from(HOSTS), max_size=2))
-    def change_in_peace(self, names):
-        """A change with the platform up, seen by some hosts; gets runs far."""
+    def release_while_healthy(self, names):
+        """Release a change with the platform up, and let some hosts poll it.
+
+        Without this rule few random runs would get past the first versions.
+        """
         self.platform.out, self.platform.lose, self.platform.drop = False, 0, 0
-        self.roll_out((ANA, BEN), 0)
+        self.release_new_content((ANA, BEN), 0)
         for name in names:
             self.look(name)
-        self.spread()
+        self.gossip_and_query()
         self.net.deliver(2)
 
     @rule(who=st.sampled_from([(ANA, BEN), (BEN, ANA)]), behind=st.integers(0, 1))
-    def roll_out(self, who, behind):
-        """Take new content through; the operator may have seen an older version."""
+    def release_new_content(self, who, behind):
+        """Release new content; the operator may have seen an older version."""
         self.count += 1
         content = build_content(str(self.count))
         self.contents[digest(content)] = content
@@ -393,7 +396,7 @@
 
     @precondition(lambda self: self.contents)
     @rule(data=st.data(), behind=st.integers(0, 1))
-    def go_back(self, data, behind):
+    def roll_back(self, data, behind):
         name = data.draw(st.sampled_from(sorted(self.contents)))
         self.accept((ANA, BEN), self.contents[name], behind)
 
@@ -411,7 +414,7 @@
             acceptance = releaser.sign(Step.ACCEPT, name, seen + 1)
             return await releases.accept(name, seen, acceptance)
 
-        result = play(work())
+        result = run(work())
         row = self.platform.rows.get(("bundles", "accepted"))
         if row is not None:
             record = decode_record(row.value)
@@ -430,8 +433,8 @@
         self.platform.out = out
 
     @rule(name=st.sampled_from(HOSTS))
-    def cut(self, name):
-        self.net.cut ^= {name}
+    def toggle_connection(self, name):
+        self.net.disconnected ^= {name}
 
     @rule(name=st.sampled_from(HOSTS))
     def restart(self, name):
@@ -439,19 +442,19 @@
 
     @rule(name=st.sampled_from(HOSTS))
     def look(self, name):
-        play(self.net.followers[name].look())
+        run(self.net.followers[name].look())
 
     @rule()
-    def spread(self):
-        """Gossip tells of versions, and hosts ask each other."""
+    def gossip_and_query(self):
+        """Let gossip announce versions, and hosts query each other."""
         show_members(self.net)
         for follower in self.net.followers.values():
-            follower.ask_peers()
+            follower.query_peers()
 
     @precondition(lambda self: self.net.sent)
     @rule(data=st.data())
-    def come_late(self, data):
-        """A bundle arrives again, long after it was sent."""
+    def redeliver_late(self, data):
+        """Deliver a bundle again, long after it was sent."""
         self.net.queue.append(data.draw(st.sampled_from(self.net.sent)))
         self.net.deliver()
 
@@ -460,7 +463,7 @@
         self.net.deliver(most)
 
     @invariant()
-    def never_back_and_never_half(self):
+    def adoption_is_monotonic_and_atomic(self):
         for name, listeners in self.used.items():
             versions = [[item.version for item in seen] for seen in listeners]
             assert versions[0] == versions[1], "half in force"
@@ -473,16 +476,16 @@
                 assert self.accepted[bundle.version] == bundle.digest
 
     def teardown(self):
-        """With platform and peers back, all hosts come to the newest version."""
+        """After platform and network recover, all hosts reach the newest version."""
         if not hasattr(self, "platform"):
             return
-        self.platform.out, self.net.cut = False, set()
+        self.platform.out, self.net.disconnected = False, set()
         for follower in self.net.followers.values():
-            play(follower.look())
+            run(follower.look())
             assert follower.adoption.version == max(self.accepted, default=0)
 
 
-BundlesEverywhere.TestCase.settings = settings(
+BundleDistribution.TestCase.settings = settings(
     max_examples=60, stateful_step_count=30, deadline=None
 )
-TestBundlesEverywhere = BundlesEverywhere.TestCase
+TestBundleDistribution = BundleDistribution.TestCase
