--- a/marigoldswitch/tests/test_releases.py
+++ b/marigoldswitch/tests/test_releases.py
@@ -242,9 +242,9 @@
 
         return send
 
-    def deliver(self, most=1_000_000):
-        """Deliver up to ``most`` of the oldest messages; the others stay queued."""
-        for _ in range(min(most, len(self.queue))):
+    def deliver(self, limit=1_000_000):
+        """Deliver up to ``limit`` of the oldest messages; the others stay queued."""
+        for _ in range(min(limit, len(self.queue))):
             sender, host, message = self.queue.popleft()
             if {sender, host} & self.disconnected or host not in self.followers:
                 continue
