--- a/marigoldswitch/tests/test_bundles.py
+++ b/marigoldswitch/tests/test_bundles.py
@@ -170,13 +170,13 @@
 def test_chain_count_matches_exhaustive_search(pairs):
     ranges = [LayerRange(*pair) for pair in pairs]
 
-    def most(left: list[tuple[int, int]]) -> int:
+    def count_most_chains(left: list[tuple[int, int]]) -> int:
         best = 0
         for chain in list_chains(left, 0):
             rest = list(left)
             for item in chain:
                 rest.remove(item)
-            best = max(best, 1 + most(rest))
+            best = max(best, 1 + count_most_chains(rest))
         return best
 
     def list_chains(left, start):
@@ -190,5 +190,5 @@
                 for chain in list_chains(rest, item[1]):
                     yield (item, *chain)
 
-    assert count_chains(ranges, 6) == most(pairs)
+    assert count_chains(ranges, 6) == count_most_chains(pairs)
     assert (find_gap(ranges, 6) is None) == (count_chains(ranges, 6) > 0)
--- a/marigoldswitch/tests/test_releases.py
+++ b/marigoldswitch/tests/test_releases.py
@@ -315,11 +315,11 @@
         one = (await carry_through(releases, ONE, ANA, BEN)).unwrap()
         two = (await carry_through(releases, TWO, ANA, BEN, seen=1)).unwrap()
         follower = build_follower("h1", platform, net)
-        used = []
-        follower.watch_bundle(lambda bundle: used.append(bundle.version))
+        adopted = []
+        follower.watch_bundle(lambda bundle: adopted.append(bundle.version))
         newer = follower.verify_and_adopt(two, pack_content(TWO))
         older = follower.verify_and_adopt(one, pack_content(ONE))
-        return await asyncio.gather(newer, older), used
+        return await asyncio.gather(newer, older), adopted
 
     assert run(work()) == ([True, False], [2])
 
@@ -357,7 +357,7 @@
     def start(self):
         self.platform = FakePlatform()
         self.net = FakeNetwork()
-        self.used = {}
+        self.adopted = {}
         self.accepted = {}
         self.count = 0
         self.contents = {}
@@ -367,10 +367,10 @@
 
     def start_host(self, name):
         follower = build_follower(name, self.platform, self.net)
-        self.used[name] = []
+        self.adopted[name] = []
         for _ in range(2):
             seen = []
-            self.used[name].append(seen)
+            self.adopted[name].append(seen)
             follower.watch_bundle(seen.append)
 
     @rule(names=st.lists(st.sampled_from(HOSTS), max_size=2))
@@ -464,7 +464,7 @@
 
     @invariant()
     def adoption_is_monotonic_and_atomic(self):
-        for name, listeners in self.used.items():
+        for name, listeners in self.adopted.items():
             versions = [[item.version for item in seen] for seen in listeners]
             assert versions[0] == versions[1], "half in force"
             assert versions[0] == sorted(set(versions[0])), "went back"
