--- a/marigoldswitch/core/crashes.py
+++ b/marigoldswitch/core/crashes.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TargetStart:
+class TargetRun:
     """One run of a target's process, from start to exit.
 
     :param born: start time in ms since 1970; 0 if unknown.
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CutRequest:
+class InterruptedRequest:
     """A request that was running on a target when it crashed.
 
     :param had_event: whether it had received an event from the target.
@@ -73,11 +73,11 @@
 class Hold:
     """A ban on running a request, with its reason.
 
-    :param left: seconds until the request may run again.
+    :param seconds_left: seconds until the request may run again.
     :param ends: crashes attributed to the request, as target and age in seconds.
     """
 
-    left: float
+    seconds_left: float
     ends: tuple[tuple[TargetId, float], ...]
 
 
@@ -102,7 +102,7 @@
     """
 
     account: AccountId | None
-    crashes: dict[TargetStart, _Crash] = field(default_factory=dict)
+    crashes: dict[TargetRun, _Crash] = field(default_factory=dict)
     cleared_at: float = float("-inf")
     held_at: float = float("-inf")
 
@@ -129,7 +129,7 @@
 
     def __init__(self) -> None:
         self._records: dict[Fingerprint, _Record] = {}
-        self._percents: dict[TargetStart, dict[Fingerprint, int]] = {}
+        self._percents: dict[TargetRun, dict[Fingerprint, int]] = {}
         """Blame of each request for each crash, in percent."""
         self._unsent: dict[Fingerprint, None] = {}
         """Requests with changes that other hosts have not been sent."""
@@ -141,7 +141,7 @@
 
     # Events observed by this host.
 
-    def knows(self, fingerprint: Fingerprint) -> bool:
+    def has_record(self, fingerprint: Fingerprint) -> bool:
         """Tell whether there is a record of a request."""
         return fingerprint in self._records
 
@@ -156,8 +156,8 @@
         ends = ((run.target, now - crash.at) for run, crash in record.crashes.items())
         return Hold(left, tuple(ends))
 
-    def note_end(
-        self, run: TargetStart, requests: Sequence[CutRequest], now: float
+    def note_crash(
+        self, run: TargetRun, requests: Sequence[InterruptedRequest], now: float
     ) -> None:
         """Record a crash and distribute the blame; may be repeated for the same crash.
 
@@ -176,7 +176,7 @@
         for item in requests:
             self._hold_if_blamed(item.fingerprint)
 
-    def note_served(self, fingerprint: Fingerprint, now: float) -> bool:
+    def note_completed(self, fingerprint: Fingerprint, now: float) -> bool:
         """Clear a request that has completed; tell whether it was a shared suspect."""
         record = self._records.get(fingerprint)
         if record is None:
@@ -215,14 +215,14 @@
         )
 
     @property
-    def has_urgent_news(self) -> bool:
+    def has_unsent_hold(self) -> bool:
         """Tell whether unsent changes concern a request on hold."""
         return any(
             name in self._records and self._records[name].is_held
             for name in self._unsent
         )
 
-    def take_news(self, now: float) -> tuple[CrashNote, ...]:
+    def take_unsent_notes(self, now: float) -> tuple[CrashNote, ...]:
         """Return one message of unsent changes, holds first; the rest stays unsent."""
         records = {
             name: self._records[name]
@@ -259,7 +259,7 @@
         )
         return zlib.crc32(repr(shared).encode()) if shared else 0
 
-    def _compute_weight(self, item: CutRequest, run: TargetStart) -> float:
+    def _compute_weight(self, item: InterruptedRequest, run: TargetRun) -> float:
         if item.had_event:
             return HAD_EVENT_WEIGHT
         record = self._records.get(item.fingerprint)
@@ -268,7 +268,7 @@
         blame = self._sum_blame(record, run)
         return 1.0 + PRIOR_BLAME_WEIGHT * blame
 
-    def _sum_blame(self, record: _Record, excluded: TargetStart | None = None) -> float:
+    def _sum_blame(self, record: _Record, excluded: TargetRun | None = None) -> float:
         """Return the number of crashes attributed to a request, with fractions.
 
         All requests together are blamed at most once for a crash: a crash interrupts
@@ -301,7 +301,7 @@
         self,
         fingerprint: Fingerprint,
         account: AccountId | None,
-        run: TargetStart,
+        run: TargetRun,
         crash: _Crash,
     ) -> None:
         record = self._records.get(fingerprint)
@@ -332,7 +332,7 @@
         if had_crashes and not record.crashes:
             self._unsent[name] = None
         for item in note.ends:
-            run = TargetStart(item.target, item.born)
+            run = TargetRun(item.target, item.born)
             known = record.crashes.get(run)
             blame = max(item.blame, known.percent if known else 0)
             self._add_crash(name, note.account, run, _Crash(now - item.age, blame))
@@ -351,7 +351,7 @@
                 del record.crashes[run]
                 self._remove_blame(run, fingerprint)
 
-    def _remove_blame(self, run: TargetStart, fingerprint: Fingerprint) -> None:
+    def _remove_blame(self, run: TargetRun, fingerprint: Fingerprint) -> None:
         blames = self._percents[run]
         del blames[fingerprint]
         if not blames:
--- a/marigoldswitch/core/gaps.py
+++ b/marigoldswitch/core/gaps.py
@@ -13,7 +13,7 @@
 MIN_TIMEOUT = 0.05
 """Lower bound in seconds. Callers count pauses over 200 ms as late; a probe of a silent
 engine takes 40 ms of that, and reading the prompt on another one 30 to 100 ms."""
-MOST_SECONDS = 0.6
+MAX_TIMEOUT = 0.6
 """Upper bound in seconds."""
 MEAN_FACTOR = 2.0
 """Smallest timeout as a multiple of the mean gap."""
@@ -48,9 +48,9 @@
 
     def __init__(self, host: HostGaps) -> None:
         self._host = host
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Reset the gaps for a new chain, which has its own pace."""
         self._last_event: float | None = None
         self._mean = 0.0
@@ -73,7 +73,7 @@
         self._deviation += STREAM_WEIGHT * (abs(gap - self._mean) - self._deviation)
         self._mean += STREAM_WEIGHT * (gap - self._mean)
 
-    def choose_patience(self, backoff: float = 1.0) -> float:
+    def get_timeout(self, backoff: float = 1.0) -> float:
         """Return the silence in seconds after which the chain is to be probed.
 
         :param backoff: factor that grows as probes of the chain find no fault.
@@ -84,4 +84,4 @@
         if mean == 0.0:
             return FIRST_EVENT_TIMEOUT
         timeout = max(MEAN_FACTOR * mean, mean + DEVIATION_FACTOR * self._deviation)
-        return min(MOST_SECONDS, backoff * max(MIN_TIMEOUT, timeout))
+        return min(MAX_TIMEOUT, backoff * max(MIN_TIMEOUT, timeout))
--- a/marigoldswitch/core/selection.py
+++ b/marigoldswitch/core/selection.py
@@ -15,7 +15,7 @@
 from marigoldswitch.core.catalogue import Target
 from marigoldswitch.core.ids import DataCentre, TargetId
 from marigoldswitch.core.loads import Loads
-from marigoldswitch.core.outliers import Health, OutlierWatch
+from marigoldswitch.core.outliers import Health, OutlierDetector
 
 INITIAL_SECONDS = 0.03
 """Answer time assumed for a target that has not answered yet."""
@@ -49,7 +49,7 @@
     """
 
     def __init__(self, home: DataCentre, rng: random.Random) -> None:
-        self.outliers = OutlierWatch()
+        self.outliers = OutlierDetector()
         self._home = home
         self._rng = rng
         self._stats: dict[TargetId, _TargetStats] = {}
@@ -70,7 +70,7 @@
         known = {item.id: item for item in targets}
         if set(self._stats) != set(known):
             self._set_targets(set(known))
-        self.outliers.list_due(now)
+        self.outliers.start_due_probes(now)
         untried = [item for name, item in known.items() if name not in tried]
         healthy = [
             item
@@ -100,7 +100,7 @@
         """Record a request that failed at a target."""
         if target in self._stats:
             self._update_stats(target, seconds, 1.0, now)
-            self.outliers.learn_usual()
+            self.outliers.update_streak_limit()
             self.outliers.note_failure(target, 1.0, now)
 
     def note_refusal(self, target: TargetId, now: float) -> None:
@@ -134,7 +134,7 @@
         return cost * (1.0 + 0.05 * self._rng.random())
 
     def _set_targets(self, names: set[TargetId]) -> None:
-        self.outliers.replace(names)
+        self.outliers.set_targets(names)
         self._stats = {
             name: self._stats.get(name) or _TargetStats() for name in sorted(names)
         }
--- a/marigoldswitch/core/suspects.py
+++ b/marigoldswitch/core/suspects.py
@@ -68,11 +68,11 @@
         self._suspicions: dict[TargetId, _Suspicion] = {}
         self._listeners: list[Callable[[TargetId], None]] = []
 
-    def watch(self, listener: Callable[[TargetId], None]) -> None:
+    def add_dead_listener(self, listener: Callable[[TargetId], None]) -> None:
         """Register a callback for each target that is newly found dead."""
         self._listeners.append(listener)
 
-    def is_out(self, target: TargetId, now: float) -> bool:
+    def is_excluded(self, target: TargetId, now: float) -> bool:
         """Tell whether a target is excluded now."""
         suspicion = self._suspicions.get(target)
         return suspicion is not None and now < suspicion.until
@@ -91,7 +91,7 @@
         return known is not None and known.finding is Finding.FAILED
 
     def _is_excluded_as(self, target: TargetId, finding: Finding, now: float) -> bool:
-        if not self.is_out(target, now):
+        if not self.is_excluded(target, now):
             return False
         return self._suspicions[target].finding is finding
 
--- a/marigoldswitch/core/waiting.py
+++ b/marigoldswitch/core/waiting.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from marigoldswitch.core.ids import TargetId
-from marigoldswitch.core.retries import RecentCount
+from marigoldswitch.core.retries import SlidingWindowCounter
 
 RATE_WINDOW_SECONDS = 2.0
 """Window of the admission rate; a busy host admits some ten requests in it."""
@@ -39,13 +39,13 @@
     avoid: frozenset[TargetId] = field(default=frozenset(), compare=False)
 
 
-class WaitingLine:
+class WaitQueue:
     """Queue of one service on this host, the most urgent request first."""
 
     def __init__(self) -> None:
         self.tickets: list[Ticket] = []
         self._sequence = itertools.count()
-        self._admitted = RecentCount(RATE_WINDOW_SECONDS)
+        self._admitted = SlidingWindowCounter(RATE_WINDOW_SECONDS)
 
     def make_ticket(
         self,
@@ -62,14 +62,14 @@
         ahead = bisect.bisect(self.tickets, ticket)
         if ahead < MIN_CAPACITY:
             return 0.0
-        rate = self._admitted.read(now) / RATE_WINDOW_SECONDS
+        rate = self._admitted.count(now) / RATE_WINDOW_SECONDS
         return (ahead + 1) / rate if rate > 0.0 else float("inf")
 
-    def join(self, ticket: Ticket) -> None:
+    def add(self, ticket: Ticket) -> None:
         """Add a ticket to the queue."""
         bisect.insort(self.tickets, ticket)
 
-    def leave(self, ticket: Ticket) -> None:
+    def remove(self, ticket: Ticket) -> None:
         """Remove a ticket from the queue, if it is there."""
         if ticket in self.tickets:
             self.tickets.remove(ticket)
--- a/marigoldswitch/gateway/admission.py
+++ b/marigoldswitch/gateway/admission.py
@@ -7,7 +7,7 @@
 from marigoldswitch.core.ports import Clock
 from marigoldswitch.core.routes import ServiceSpec
 from marigoldswitch.core.stages import Chain
-from marigoldswitch.core.waiting import Ticket, WaitingLine
+from marigoldswitch.core.waiting import Ticket, WaitQueue
 from marigoldswitch.gateway.planner import ChainPlanner
 
 POLL_SECONDS = 0.02
@@ -27,7 +27,7 @@
     :param task: searches for room as long as requests wait.
     """
 
-    queue: WaitingLine
+    queue: WaitQueue
     waiters: dict[int, asyncio.Future[Chain]]
     service: ServiceSpec
     task: asyncio.Task[None] | None = None
@@ -82,7 +82,7 @@
     ) -> Chain | None:
         future: asyncio.Future[Chain]
         future = asyncio.get_running_loop().create_future()
-        state.queue.join(ticket)
+        state.queue.add(ticket)
         state.waiters[ticket.number] = future
         if state.task is None:
             state.task = asyncio.create_task(self._poll(state))
@@ -97,7 +97,7 @@
                 self._planner.release(future.result().stages, ticket.tokens)
             raise
         finally:
-            state.queue.leave(ticket)
+            state.queue.remove(ticket)
             state.waiters.pop(ticket.number, None)
 
     async def _poll(self, state: _QueueState) -> None:
@@ -120,7 +120,7 @@
                 if failed >= MAX_FAILED_TRIES:
                     return
                 continue
-            state.queue.leave(ticket)
+            state.queue.remove(ticket)
             waiter.set_result(chain)
 
     def _try_admit(self, state: _QueueState, ticket: Ticket) -> Chain | None:
@@ -137,6 +137,6 @@
         """Return the queue of a service, creating it at its first use."""
         state = self._queues.get(service.name)
         if state is None:
-            state = self._queues[service.name] = _QueueState(WaitingLine(), {}, service)
+            state = self._queues[service.name] = _QueueState(WaitQueue(), {}, service)
         state.service = service
         return state
--- a/marigoldswitch/gateway/crashes.py
+++ b/marigoldswitch/gateway/crashes.py
@@ -7,7 +7,7 @@
 import structlog
 
 from marigoldswitch.core.catalogue import Target
-from marigoldswitch.core.crashes import CrashLedger, CutRequest, Hold, TargetStart
+from marigoldswitch.core.crashes import CrashLedger, Hold, InterruptedRequest, TargetRun
 from marigoldswitch.core.fingerprints import Fingerprint
 from marigoldswitch.core.gateway_messages import CrashNote
 from marigoldswitch.core.ports import Clock
@@ -35,7 +35,7 @@
     :ivar verdict: finds out whether the target has ended.
     """
 
-    requests: list[CutRequest] = field(default_factory=list)
+    requests: list[InterruptedRequest] = field(default_factory=list)
     verdict: asyncio.Task[bool] | None = None
 
     @property
@@ -67,7 +67,7 @@
         self._directory = directory
         self._probes = probes
         self._ledger = CrashLedger()
-        self._interruptions: dict[TargetStart, _Interruption] = {}
+        self._interruptions: dict[TargetRun, _Interruption] = {}
 
     @property
     def checksum(self) -> int:
@@ -83,7 +83,7 @@
         """Return the hold on a request, or ``None`` if it may run."""
         return self._ledger.find_hold(fingerprint, self._clock.monotonic())
 
-    async def note_cut_off(self, request: CutRequest, target: Target) -> None:
+    async def note_cut_off(self, request: InterruptedRequest, target: Target) -> None:
         """Record that a target broke a request off, perhaps because it ended.
 
         If the request may be the cause, this waits for the verdict on the target, for
@@ -92,7 +92,7 @@
         row = self._directory.registry.rows.get(target.id)
         if row is None or row.leaving:
             return
-        start = TargetStart(target.id, row.born)
+        start = TargetRun(target.id, row.born)
         interruption = self._get_interruption(start)
         interruption.requests.append(request)
         if interruption.verdict is None:
@@ -101,10 +101,10 @@
             )
         elif interruption.is_confirmed:
             self._note_end(start, interruption)
-        if not request.had_event or self._ledger.knows(request.fingerprint):
+        if not request.had_event or self._ledger.has_record(request.fingerprint):
             await asyncio.wait({interruption.verdict}, timeout=VERDICT_SECONDS)
 
-    def _get_interruption(self, start: TargetStart) -> _Interruption:
+    def _get_interruption(self, start: TargetRun) -> _Interruption:
         """Return a target's current interruption, a new one if it was found alive."""
         interruption = self._interruptions.get(start)
         if interruption is None or interruption.is_refuted:
@@ -116,14 +116,14 @@
         return interruption
 
     def _forget_interruption(
-        self, start: TargetStart, interruption: _Interruption
+        self, start: TargetRun, interruption: _Interruption
     ) -> None:
         if self._interruptions.get(start) is interruption:
             del self._interruptions[start]
 
     def note_served(self, fingerprint: Fingerprint) -> None:
         """Record that a request has run to completion, which clears it of suspicion."""
-        if self._ledger.note_served(fingerprint, self._clock.monotonic()):
+        if self._ledger.note_completed(fingerprint, self._clock.monotonic()):
             logger.info("suspicion_cleared", fingerprint=fingerprint)
 
     def list_notes(self) -> tuple[CrashNote, ...]:
@@ -137,7 +137,7 @@
 
     def send_pending_notes(self) -> None:
         """Send other hosts the notes that are new since the last time, if any."""
-        notes = self._ledger.take_news(self._clock.monotonic())
+        notes = self._ledger.take_unsent_notes(self._clock.monotonic())
         if notes:
             self.send_notes(notes)
 
@@ -147,11 +147,11 @@
         Notes on mere suspects wait and go together, as the loss of a rack leaves
         hundreds of them.
         """
-        if self._ledger.has_urgent_news:
+        if self._ledger.has_unsent_hold:
             self.send_pending_notes()
 
     async def _confirm_end(
-        self, start: TargetStart, target: Target, interruption: _Interruption
+        self, start: TargetRun, target: Target, interruption: _Interruption
     ) -> bool:
         """Tell whether a target has ended; if so, record the requests that it ran.
 
@@ -172,6 +172,6 @@
         )
         return True
 
-    def _note_end(self, start: TargetStart, interruption: _Interruption) -> None:
-        self._ledger.note_end(start, interruption.requests, self._clock.monotonic())
+    def _note_end(self, start: TargetRun, interruption: _Interruption) -> None:
+        self._ledger.note_crash(start, interruption.requests, self._clock.monotonic())
         self._send_if_urgent()
--- a/marigoldswitch/gateway/detours.py
+++ b/marigoldswitch/gateway/detours.py
@@ -14,7 +14,7 @@
 import aiohttp
 import structlog
 
-from marigoldswitch.core.gaps import MOST_SECONDS, StreamGaps
+from marigoldswitch.core.gaps import MAX_TIMEOUT, StreamGaps
 from marigoldswitch.core.ids import TargetId
 from marigoldswitch.core.stages import Chain, Stage, describe_stages, find_stage
 from marigoldswitch.core.suspects import Finding
@@ -89,7 +89,7 @@
         self.stages = stages
         self._delivering_stages = ()
         self._recorded_ends.clear()
-        self._gaps.begin()
+        self._gaps.reset()
 
     def release_chain(self) -> None:
         """Stop counting the load of the chain, and drop it."""
@@ -195,13 +195,13 @@
             if silence >= self._silence_limit:
                 await self._check_chain()
                 self._silent_since = self._parts.clock.monotonic()
-                self._silence_limit = min(MOST_SECONDS, 2.0 * self._silence_limit)
+                self._silence_limit = min(MAX_TIMEOUT, 2.0 * self._silence_limit)
                 self._backoff = min(MAX_BACKOFF, BACKOFF_FACTOR * self._backoff)
                 silence = 0.0
             self._set_timer(self._silence_limit - silence)
 
     def _choose_silence_limit(self) -> float:
-        return self._gaps.choose_patience(self._backoff)
+        return self._gaps.get_timeout(self._backoff)
 
     async def _handle_check_request(self) -> None:
         """Replace the engines of the chain that are dead or leaving.
--- a/marigoldswitch/gateway/exchanges.py
+++ b/marigoldswitch/gateway/exchanges.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from marigoldswitch.core.catalogue import Target
-from marigoldswitch.core.crashes import CutRequest, Hold
+from marigoldswitch.core.crashes import Hold, InterruptedRequest
 from marigoldswitch.core.errors import ErrorKind, Fault
 from marigoldswitch.core.fingerprints import Fingerprint, fingerprint_request
 from marigoldswitch.core.ids import AccountId, ServiceName
@@ -225,10 +225,10 @@
         fingerprint=exchange.fingerprint,
         account=exchange.account,
         ends=[[name, round(age, 1)] for name, age in hold.ends],
-        seconds_left=round(hold.left),
+        seconds_left=round(hold.seconds_left),
     )
     kind = ErrorKind.TARGET_LOST if exchange.ran else ErrorKind.ENDS_TARGETS
-    raise Refused(Fault(kind, "held off: the request ends targets", hold.left))
+    raise Refused(Fault(kind, "held off: the request ends targets", hold.seconds_left))
 
 
 async def note_cut_off(
@@ -238,7 +238,7 @@
 
     :param had_event: whether the target had delivered part of the answer.
     """
-    cut = CutRequest(exchange.fingerprint, exchange.account, had_event)
+    cut = InterruptedRequest(exchange.fingerprint, exchange.account, had_event)
     await parts.crashes.note_cut_off(cut, target)
 
 
--- a/marigoldswitch/gateway/fronts.py
+++ b/marigoldswitch/gateway/fronts.py
@@ -261,7 +261,7 @@
         """
         row = fault.row
         body = orjson.dumps({"error": fault.kind.value, "message": row.meaning})
-        headers = self._parts.codec.write_refusal(call, fault.wait)
+        headers = self._parts.codec.write_refusal(call, fault.retry_delay)
         return web.Response(
             status=row.status,
             headers=headers,
@@ -287,7 +287,7 @@
             service=name,
             account=exchange.account,
             end=end,
-            retry_after=fault.wait if fault else None,
+            retry_after=fault.retry_delay if fault else None,
             took=round(elapsed, 4),
             first_event=_round(exchange.first_event),
             longest_gap=_round(exchange.longest_gap),
--- a/marigoldswitch/gateway/hosts.py
+++ b/marigoldswitch/gateway/hosts.py
@@ -100,7 +100,7 @@
         directory = parts.runs.directory
         directory.registry.watch(self._handle_target_change)
         directory.registry.watch_eras(self._handle_store_restored)
-        directory.suspects.watch(parts.front.alarm_streams)
+        directory.suspects.add_dead_listener(parts.front.alarm_streams)
         directory.watch(self._apply_limits)
 
     @property
--- a/marigoldswitch/gateway/plain.py
+++ b/marigoldswitch/gateway/plain.py
@@ -185,7 +185,7 @@
         available = [
             item
             for item in targets
-            if not parts.directory.suspects.is_out(item.id, now)
+            if not parts.directory.suspects.is_excluded(item.id, now)
         ]
         return self._selector.choose(
             available or targets, parts.loads, self._tried, now
--- a/marigoldswitch/gateway/planner.py
+++ b/marigoldswitch/gateway/planner.py
@@ -194,7 +194,7 @@
         targets = [
             target
             for target in self._directory.registry.list_targets(service.name)
-            if not suspects.is_out(target.id, now)
+            if not suspects.is_excluded(target.id, now)
         ]
         return self._build_offers(targets, model, tokens)
 
@@ -207,7 +207,7 @@
         targets = [
             target
             for target in registry.list_leaving(service.name, now - LEAVING_USE_SECONDS)
-            if not suspects.is_out(target.id, now)
+            if not suspects.is_excluded(target.id, now)
         ]
         return self._build_offers(targets, model, tokens)
 
--- a/marigoldswitch/gateway/spread.py
+++ b/marigoldswitch/gateway/spread.py
@@ -306,7 +306,7 @@
         parts = self._parts
         for name in names:
             target = parts.directory.registry.targets.get(name)
-            if target is None or parts.directory.suspects.is_out(name, now):
+            if target is None or parts.directory.suspects.is_excluded(name, now):
                 continue
             if self._must_probe(target):
                 parts.probes.check_later(target)
--- a/marigoldswitch/gateway/streams.py
+++ b/marigoldswitch/gateway/streams.py
@@ -135,8 +135,8 @@
             had_event=had_event,
             after=self.chain.last_event,
             why=why,
-            repeats=budget.retries.read(now),
-            repeats_allowed=round(budget.measure_allowed(now), 1),
+            repeats=budget.retries.count(now),
+            repeats_allowed=round(budget.get_limit(now), 1),
         )
 
     # Waiting for a chain and retrying.
--- a/marigoldswitch/platform/compose.py
+++ b/marigoldswitch/platform/compose.py
@@ -132,7 +132,7 @@
     configuration.get_patience = targets.get_patience = patience
     planner.count_near = spread.roster.count_near
     spread.lease = orderer.lease
-    directory.suspects.watch(lambda _: spread.tell_now())
+    directory.suspects.add_dead_listener(lambda _: spread.tell_now())
     return GatewayHost(
         GatewayParts(
             settings,
--- a/marigoldswitch/tests/test_connections.py
+++ b/marigoldswitch/tests/test_connections.py
@@ -136,7 +136,7 @@
                     assert list_ids(await answered.read()) == ALL_EVENTS
             suspects = site.hosts[0].parts.runs.directory.suspects
             now = site.hosts[0].parts.runs.clock.monotonic()
-            assert not suspects.is_out(TargetId("x"), now)
+            assert not suspects.is_excluded(TargetId("x"), now)
 
     run(scenario())
 
--- a/marigoldswitch/tests/test_crash_ledger.py
+++ b/marigoldswitch/tests/test_crash_ledger.py
@@ -7,21 +7,21 @@
     HOLD_SECONDS,
     MAX_PER_ACCOUNT,
     CrashLedger,
-    CutRequest,
-    TargetStart,
+    InterruptedRequest,
+    TargetRun,
 )
 
 
 def target_run(number, born=1):
-    return TargetStart(f"engine-{number}", born)
+    return TargetRun(f"engine-{number}", born)
 
 
 def unanswered(name, account="a"):
-    return CutRequest(name, account, had_event=False)
+    return InterruptedRequest(name, account, had_event=False)
 
 
 def partly_answered(name, account="a"):
-    return CutRequest(name, account, had_event=True)
+    return InterruptedRequest(name, account, had_event=True)
 
 
 def is_held(ledger, name, now=100.0):
@@ -30,30 +30,30 @@
 
 def test_one_crash_puts_no_request_on_hold():
     ledger = CrashLedger()
-    ledger.note_end(target_run(1), [unanswered("bad")], 1.0)
+    ledger.note_crash(target_run(1), [unanswered("bad")], 1.0)
     assert not is_held(ledger, "bad")
 
 
 def test_only_request_at_two_crashes_is_put_on_hold_and_the_hold_lists_them():
     ledger = CrashLedger()
     for number in (1, 2):
-        ledger.note_end(target_run(number), [unanswered("bad")], float(number))
+        ledger.note_crash(target_run(number), [unanswered("bad")], float(number))
     hold = ledger.find_hold("bad", 5.0)
     assert hold.ends == (("engine-1", 4.0), ("engine-2", 3.0))
-    assert hold.left == HOLD_SECONDS - 3.0
+    assert hold.seconds_left == HOLD_SECONDS - 3.0
 
 
 def test_same_crash_counts_once():
     ledger = CrashLedger()
     for second in range(5):
-        ledger.note_end(target_run(1), [unanswered("bad")], float(second))
+        ledger.note_crash(target_run(1), [unanswered("bad")], float(second))
     assert not is_held(ledger, "bad")
 
 
 def test_crash_after_a_restart_under_the_same_name_is_a_separate_crash():
     ledger = CrashLedger()
     for born in (1, 2):
-        ledger.note_end(target_run(1, born), [unanswered("bad")], float(born))
+        ledger.note_crash(target_run(1, born), [unanswered("bad")], float(born))
     assert is_held(ledger, "bad")
 
 
@@ -62,12 +62,12 @@
     restarted on the same engines. They must not share its blame."""
     ledger = CrashLedger()
     names = [f"stream-{number}" for number in range(20)]
-    ledger.note_end(
+    ledger.note_crash(
         target_run(1), [unanswered("bad"), *map(partly_answered, names)], 1.0
     )
     for number in (2, 3):
         cut = [unanswered("bad"), *map(unanswered, names)]
-        ledger.note_end(target_run(number), cut, float(number))
+        ledger.note_crash(target_run(number), cut, float(number))
     assert is_held(ledger, "bad")
     assert not any(is_held(ledger, name) for name in names)
 
@@ -79,7 +79,7 @@
         cut = [
             partly_answered(name) if number % 2 else unanswered(name) for name in names
         ]
-        ledger.note_end(target_run(number), cut, float(number))
+        ledger.note_crash(target_run(number), cut, float(number))
     assert not any(is_held(ledger, name) for name in names)
 
 
@@ -87,7 +87,7 @@
     ledger = CrashLedger()
     for number in range(4):
         others = [partly_answered(f"stream-{number}-{other}") for other in range(20)]
-        ledger.note_end(
+        ledger.note_crash(
             target_run(number), [partly_answered("late"), *others], float(number)
         )
     assert is_held(ledger, "late")
@@ -98,35 +98,35 @@
     ledger = CrashLedger()
     for number in range(4):
         cut = [unanswered(f"bad-{number // 2}"), partly_answered("stream")]
-        ledger.note_end(target_run(number), cut, float(number))
+        ledger.note_crash(target_run(number), cut, float(number))
     assert is_held(ledger, "bad-0")
     assert not is_held(ledger, "stream")
 
 
 def test_completed_request_stays_cleared_when_other_hosts_send_older_crashes():
     ledger, other = CrashLedger(), CrashLedger()
-    ledger.note_end(target_run(1), [unanswered("hot")], 1.0)
+    ledger.note_crash(target_run(1), [unanswered("hot")], 1.0)
     other.merge(ledger.list_notes(1.0), 1.0)
-    assert other.note_served("hot", 2.0)
+    assert other.note_completed("hot", 2.0)
     other.merge(ledger.list_notes(3.0), 3.0)
-    other.note_end(target_run(2), [unanswered("hot")], 4.0)
+    other.note_crash(target_run(2), [unanswered("hot")], 4.0)
     assert not is_held(other, "hot")
 
 
 def test_request_completed_on_another_host_between_two_crashes_is_not_put_on_hold():
     hosts = [CrashLedger(), CrashLedger()]
     for number, ledger in enumerate(hosts):
-        ledger.note_end(target_run(number), [unanswered("hot")], float(2 * number))
+        ledger.note_crash(target_run(number), [unanswered("hot")], float(2 * number))
         for other in hosts:
             other.merge(ledger.list_notes(2.0 * number), 2.0 * number)
-        hosts[1 - number].note_served("hot", 2.0 * number + 1.0)
+        hosts[1 - number].note_completed("hot", 2.0 * number + 1.0)
     assert not any(is_held(ledger, "hot") for ledger in hosts)
 
 
 def test_crashes_seen_by_two_hosts_add_up():
     hosts = [CrashLedger(), CrashLedger()]
     for number, ledger in enumerate(hosts):
-        ledger.note_end(target_run(number), [unanswered("bad")], float(number))
+        ledger.note_crash(target_run(number), [unanswered("bad")], float(number))
     for ledger, other in (hosts, hosts[::-1]):
         other.merge(ledger.list_notes(2.0), 2.0)
     assert all(is_held(ledger, "bad") for ledger in hosts)
@@ -136,10 +136,10 @@
     """Each of two hosts had a request on the target; either may have crashed it."""
     hosts = [CrashLedger(), CrashLedger()]
     for number, ledger in enumerate(hosts):
-        ledger.note_end(target_run(1), [unanswered(f"r{number}")], 1.0)
+        ledger.note_crash(target_run(1), [unanswered(f"r{number}")], 1.0)
     for ledger, other in (hosts, hosts[::-1]):
         other.merge(ledger.list_notes(1.0), 1.0)
-    hosts[0].note_end(target_run(2), [unanswered("r0")], 2.0)
+    hosts[0].note_crash(target_run(2), [unanswered("r0")], 2.0)
     assert is_held(hosts[0], "r0")
     assert not is_held(hosts[0], "r1")
 
@@ -147,13 +147,13 @@
 def test_holds_and_crashes_expire():
     ledger = CrashLedger()
     for number in (1, 2):
-        ledger.note_end(
+        ledger.note_crash(
             target_run(number),
             [unanswered("bad"), partly_answered("other")],
             float(number),
         )
     ledger.expire(EXPIRY_SECONDS + 3.0)
-    assert not ledger.knows("other")
+    assert not ledger.has_record("other")
     assert is_held(ledger, "bad", EXPIRY_SECONDS + 3.0)
     assert not is_held(ledger, "bad", HOLD_SECONDS + 3.0)
     ledger.expire(HOLD_SECONDS + 3.0)
@@ -164,9 +164,9 @@
 def test_account_with_many_requests_evicts_only_its_own_records():
     ledger = CrashLedger()
     for number in (1, 2):
-        ledger.note_end(target_run(number), [unanswered("bad", "quiet")], 1.0)
+        ledger.note_crash(target_run(number), [unanswered("bad", "quiet")], 1.0)
     for number in range(10 * MAX_PER_ACCOUNT):
-        ledger.note_end(
+        ledger.note_crash(
             target_run(10 + number), [unanswered(f"new-{number}", "loud")], 2.0
         )
     assert is_held(ledger, "bad")
@@ -191,11 +191,11 @@
     for host, number, names, is_end in events:
         now += 1.0
         if is_end:
-            hosts[host].note_end(
+            hosts[host].note_crash(
                 target_run(number), [unanswered(name) for name in names], now
             )
         else:
-            hosts[host].note_served(names[0], now)
+            hosts[host].note_completed(names[0], now)
     for _ in range(3):
         for ledger in hosts:
             for other in hosts:
@@ -215,7 +215,7 @@
             if is_end:
                 seen.setdefault(name, set()).add(number)
         if is_end:
-            ledger.note_end(
+            ledger.note_crash(
                 target_run(number), [unanswered(name) for name in names], float(now)
             )
     for name in "vwxyz":
--- a/marigoldswitch/tests/test_crash_spread.py
+++ b/marigoldswitch/tests/test_crash_spread.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from marigoldswitch.core.crashes import CutRequest, TargetStart
+from marigoldswitch.core.crashes import InterruptedRequest, TargetRun
 from marigoldswitch.core.gateway_messages import CrashNotes, GatewayMessage
 from marigoldswitch.core.ids import DataCentre, HostId
 from marigoldswitch.core.loads import Loads
@@ -108,8 +108,8 @@
     def report_crash(self, host, number, name="bad"):
         """Have a host observe that a request has crashed a target."""
         watch = self.watches[host]
-        cut = [CutRequest(name, None, False)]
-        watch._ledger.note_end(TargetStart(f"engine-{number}", 1), cut, self.now)
+        cut = [InterruptedRequest(name, None, False)]
+        watch._ledger.note_crash(TargetRun(f"engine-{number}", 1), cut, self.now)
         watch._send_if_urgent()
 
     def list_without_hold(self, name="bad"):
--- a/marigoldswitch/tests/test_crashes.py
+++ b/marigoldswitch/tests/test_crashes.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 
-from marigoldswitch.core.crashes import CutRequest
+from marigoldswitch.core.crashes import InterruptedRequest
 from marigoldswitch.gateway import exchanges
 from marigoldswitch.tests.gateway_site import (
     ALL_EVENTS,
@@ -132,10 +132,10 @@
             await site.wait(lambda: len(get_targets(site)) == 1)
             watch = site.hosts[0].parts.runs.crashes
             target = get_targets(site)["x"]
-            await watch.note_cut_off(CutRequest("reset", None, False), target)
+            await watch.note_cut_off(InterruptedRequest("reset", None, False), target)
             assert watch.is_empty
             await engine.stop()
-            await watch.note_cut_off(CutRequest("bad", None, False), target)
+            await watch.note_cut_off(InterruptedRequest("bad", None, False), target)
             assert [item.fingerprint for item in watch.list_notes()] == ["bad"]
 
     run(scenario())
--- a/marigoldswitch/tests/test_detours.py
+++ b/marigoldswitch/tests/test_detours.py
@@ -142,7 +142,7 @@
     chain.check(after=0.5)
     with pytest.raises(ChainBroken):
         chain.check(after=0.25)
-    assert chain.directory.suspects.is_out(NAMES[0], chain.now)
+    assert chain.directory.suspects.is_excluded(NAMES[0], chain.now)
     assert not chain.directory.suspects.is_dead(NAMES[0], chain.now)
 
 
--- a/marigoldswitch/tests/test_fronts.py
+++ b/marigoldswitch/tests/test_fronts.py
@@ -18,7 +18,7 @@
 from marigoldswitch.claiming import Claims
 from marigoldswitch.clocks import SystemClock
 from marigoldswitch.core.catalogue import LayerRange, Priority
-from marigoldswitch.core.delivery import Delivery, Miss
+from marigoldswitch.core.delivery import Delivery, FailedAttempt
 from marigoldswitch.core.errors import ErrorKind, Fault
 from marigoldswitch.core.ledger import StageToken
 from marigoldswitch.core.messages import Grant, Message
@@ -200,9 +200,9 @@
             case "answer":
                 self.targets.replies.put_nowait(Ok((Answer({"a": 1}), None)))
             case "lose":
-                self.reply(Miss(Delivery.MAY_HAVE_RUN, "lost"))
+                self.reply(FailedAttempt(Delivery.MAY_HAVE_RUN, "lost"))
             case "refuse":
-                self.reply(Miss(Delivery.NOT_DELIVERED, "refused"))
+                self.reply(FailedAttempt(Delivery.NOT_DELIVERED, "refused"))
             case "bug":
                 self.targets.replies.put_nowait(ZeroDivisionError("bug"))
             case "cancel":
@@ -231,7 +231,7 @@
                 await asyncio.sleep(0)
         while not self.task.done() or self.front.held:
             self.answer_asks(None)
-            self.reply(Miss(Delivery.MAY_HAVE_RUN, "lost"))
+            self.reply(FailedAttempt(Delivery.MAY_HAVE_RUN, "lost"))
             await asyncio.sleep(0)
         await self.claims.flush()
         return await asyncio.gather(self.task, return_exceptions=True)
--- a/marigoldswitch/tests/test_gaps.py
+++ b/marigoldswitch/tests/test_gaps.py
@@ -11,8 +11,8 @@
 
 from marigoldswitch.core.gaps import (
     FIRST_EVENT_TIMEOUT,
+    MAX_TIMEOUT,
     MIN_TIMEOUT,
-    MOST_SECONDS,
     HostGaps,
     StreamGaps,
 )
@@ -25,7 +25,7 @@
     stream = StreamGaps(host or HostGaps())
     now, probes, backoff = 0.0, 0, 1.0
     for gap in gaps:
-        if gap > stream.choose_patience(backoff):
+        if gap > stream.get_timeout(backoff):
             probes += 1
             backoff *= 1.4
         now += gap
@@ -58,7 +58,7 @@
     stream = StreamGaps(HostGaps())
     for step in range(10):
         stream.note_event(0.08 * step)
-    assert stream.choose_patience() == pytest.approx(0.16)
+    assert stream.get_timeout() == pytest.approx(0.16)
 
 
 def test_stream_without_gaps_of_its_own_uses_those_of_the_host():
@@ -66,11 +66,11 @@
     known, fresh = StreamGaps(host), StreamGaps(host)
     for step in range(10):
         known.note_event(0.06 * step)
-    assert fresh.choose_patience() == FIRST_EVENT_TIMEOUT
+    assert fresh.get_timeout() == FIRST_EVENT_TIMEOUT
     fresh.note_event(1.0)
-    assert fresh.choose_patience() == pytest.approx(0.12)
-    fresh.begin()
-    assert fresh.choose_patience() == FIRST_EVENT_TIMEOUT
+    assert fresh.get_timeout() == pytest.approx(0.12)
+    fresh.reset()
+    assert fresh.get_timeout() == FIRST_EVENT_TIMEOUT
 
 
 def test_timeout_has_bounds():
@@ -78,6 +78,6 @@
     for step in range(10):
         quick.note_event(0.001 * step)
         slow.note_event(1.0 * step)
-    assert quick.choose_patience() == MIN_TIMEOUT
-    assert slow.choose_patience() == MOST_SECONDS
-    assert slow.choose_patience(4.0) == MOST_SECONDS
+    assert quick.get_timeout() == MIN_TIMEOUT
+    assert slow.get_timeout() == MAX_TIMEOUT
+    assert slow.get_timeout(4.0) == MAX_TIMEOUT
--- a/marigoldswitch/tests/test_metrics.py
+++ b/marigoldswitch/tests/test_metrics.py
@@ -72,7 +72,7 @@
                 if key.service == "drafting"
             )
             drafting.pool.states["engine-0-0"].leaving = True
-            drafting.pool.outliers.out.add("engine-1-0")
+            drafting.pool.outliers.excluded.add("engine-1-0")
             address = deployment.get_address("host-0", "callers")
             async with session.get(address + "/metrics") as response:
                 return await response.text()
--- a/marigoldswitch/tests/test_pool.py
+++ b/marigoldswitch/tests/test_pool.py
@@ -6,7 +6,7 @@
 from marigoldswitch.core.catalogue import Load
 from marigoldswitch.core.ledger import covers
 from marigoldswitch.core.messages import TargetReport
-from marigoldswitch.core.outliers import FIRST_SECONDS, Health
+from marigoldswitch.core.outliers import FIRST_EJECTION_SECONDS, Health
 from marigoldswitch.core.pool import UNLISTED_SECONDS, TargetPool
 from marigoldswitch.core.routing import choose_route
 from marigoldswitch.tests.helpers import (
@@ -88,7 +88,7 @@
     pool = build_pool("a", "b", "c", "d")
     fail(pool, "a", 1.0)
     assert "a" not in count_room(pool, 1.0)
-    probing = 1.0 + FIRST_SECONDS
+    probing = 1.0 + FIRST_EJECTION_SECONDS
     assert count_room(pool, probing)["a"] == 1
     succeed(pool, "a", probing)
     assert count_room(pool, probing)["a"] == 1
@@ -107,11 +107,11 @@
         assert rooms == dict.fromkeys(names[3:], 1)
         for name in names[3:]:
             fail(pool, name, 1.0 + step, count=1)
-    succeed_at = 1.0 + FIRST_SECONDS
+    succeed_at = 1.0 + FIRST_EJECTION_SECONDS
     pool.refresh(succeed_at)
     for name in names:
         succeed(pool, name, succeed_at)
-    assert not pool.outliers.out
+    assert not pool.outliers.excluded
 
 
 @pytest.mark.parametrize("count", [1, 50])
--- a/marigoldswitch/tests/test_retries.py
+++ b/marigoldswitch/tests/test_retries.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from marigoldswitch.core.delivery import Delivery, Miss
+from marigoldswitch.core.delivery import Delivery, FailedAttempt
 from marigoldswitch.core.errors import Advice
 from marigoldswitch.core.retries import (
     BUDGET_FLOOR,
@@ -13,27 +13,29 @@
     BUDGET_WINDOW,
     MAX_ATTEMPTS,
     GiveUp,
-    Missed,
     Retry,
     RetryBudget,
+    RetryContext,
     ServiceRetries,
 )
 from marigoldswitch.tests.helpers import BOOKINGS_PATH, run_async, run_deployment
 
-BUSY = Miss(Delivery.REFUSED, "busy", Advice.RETRY_ELSEWHERE)
+BUSY = FailedAttempt(Delivery.REFUSED, "busy", Advice.RETRY_ELSEWHERE)
 
 
 def decide(miss=BUSY, retries=None, now=0.0, **changes):
     fields = {"idempotent": True, "trusts_not_run": True, "attempt": 1, "left": 10.0}
     retries = retries or ServiceRetries(random.Random(1))
-    return retries.decide(Missed(miss, **fields | changes), now)
+    return retries.decide(RetryContext(miss, **fields | changes), now)
 
 
 @pytest.mark.parametrize("delivery", Delivery)
 @pytest.mark.parametrize("idempotent", [True, False])
 @pytest.mark.parametrize("trusts", [True, False])
 def test_only_attempts_that_cannot_run_twice_are_retried(delivery, idempotent, trusts):
-    choice = decide(Miss(delivery, "x"), idempotent=idempotent, trusts_not_run=trusts)
+    choice = decide(
+        FailedAttempt(delivery, "x"), idempotent=idempotent, trusts_not_run=trusts
+    )
     certain = delivery is Delivery.NOT_DELIVERED or (
         delivery is Delivery.REFUSED and trusts
     )
@@ -41,13 +43,15 @@
 
 
 def test_advice_to_stop_and_last_attempt_are_not_retried():
-    assert isinstance(decide(Miss(Delivery.REFUSED, "x", Advice.STOP)), GiveUp)
+    assert isinstance(decide(FailedAttempt(Delivery.REFUSED, "x", Advice.STOP)), GiveUp)
     assert isinstance(decide(attempt=MAX_ATTEMPTS), GiveUp)
 
 
 def test_short_retry_after_is_waited_out_and_long_one_is_passed_on():
     def later(seconds):
-        return Miss(Delivery.REFUSED, "full", Advice.RETRY_LATER, retry_after=seconds)
+        return FailedAttempt(
+            Delivery.REFUSED, "full", Advice.RETRY_LATER, retry_after=seconds
+        )
 
     choice = decide(later(1.0))
     assert 1.0 <= choice.pause <= 2.0
@@ -89,16 +93,16 @@
 def test_stream_recoveries_are_always_allowed_and_reduce_the_budget():
     budget = RetryBudget()
     for _ in range(int(BUDGET_FLOOR * BUDGET_WINDOW)):
-        budget.charge(1.0)
+        budget.spend_unbounded(1.0)
     assert not budget.spend(1.0)
-    budget.charge(1.0)
+    budget.spend_unbounded(1.0)
     assert budget.spend(2.0 + BUDGET_WINDOW)
 
 
 def test_retries_of_a_dead_service_are_bounded():
     """A thousand requests a second all fail; retries stay at the floor."""
     retries = ServiceRetries(random.Random(1))
-    lost = Miss(Delivery.MAY_HAVE_RUN, "lost")
+    lost = FailedAttempt(Delivery.MAY_HAVE_RUN, "lost")
     tried = sum(
         isinstance(decide(lost, retries, now=number / 1000), Retry)
         for number in range(20_000)
--- a/marigoldswitch/tests/test_suspects.py
+++ b/marigoldswitch/tests/test_suspects.py
@@ -15,19 +15,19 @@
 
 def test_dead_target_is_excluded_and_reported_to_listeners():
     suspects, reported = Suspects(), []
-    suspects.watch(reported.append)
+    suspects.add_dead_listener(reported.append)
     suspects.note(NAME, Finding.DEAD, 0.0)
     assert suspects.is_dead(NAME, DEAD_EXCLUSION_SECONDS / 2)
-    assert not suspects.is_out(NAME, DEAD_EXCLUSION_SECONDS)
+    assert not suspects.is_excluded(NAME, DEAD_EXCLUSION_SECONDS)
     assert reported == [NAME]
 
 
 def test_refusing_target_is_excluded_briefly_and_not_reported_dead():
     suspects = Suspects()
     suspects.note(NAME, Finding.REFUSED, 0.0)
-    assert suspects.is_out(NAME, REFUSED_EXCLUSION_SECONDS / 2)
+    assert suspects.is_excluded(NAME, REFUSED_EXCLUSION_SECONDS / 2)
     assert not suspects.is_dead(NAME, REFUSED_EXCLUSION_SECONDS / 2)
-    assert not suspects.is_out(NAME, REFUSED_EXCLUSION_SECONDS)
+    assert not suspects.is_excluded(NAME, REFUSED_EXCLUSION_SECONDS)
 
 
 def test_exclusion_doubles_up_to_a_maximum():
@@ -36,29 +36,29 @@
         suspects.note(NAME, Finding.DEAD, now)
         now += MAX_EXCLUSION_SECONDS
     now -= MAX_EXCLUSION_SECONDS
-    assert suspects.is_out(NAME, now + MAX_EXCLUSION_SECONDS - 0.1)
-    assert not suspects.is_out(NAME, now + MAX_EXCLUSION_SECONDS)
+    assert suspects.is_excluded(NAME, now + MAX_EXCLUSION_SECONDS - 0.1)
+    assert not suspects.is_excluded(NAME, now + MAX_EXCLUSION_SECONDS)
 
 
 def test_findings_in_quick_succession_count_once():
     suspects, reported = Suspects(), []
-    suspects.watch(reported.append)
+    suspects.add_dead_listener(reported.append)
     for moment in (0.0, 0.01, 0.02):
         suspects.note(NAME, Finding.DEAD, moment)
     assert reported == [NAME]
-    assert not suspects.is_out(NAME, DEAD_EXCLUSION_SECONDS)
+    assert not suspects.is_excluded(NAME, DEAD_EXCLUSION_SECONDS)
 
 
 def test_target_that_has_answered_is_no_longer_excluded():
     suspects = Suspects()
     suspects.note(NAME, Finding.DEAD, 0.0)
     suspects.clear(NAME)
-    assert not suspects.is_out(NAME, 0.1)
+    assert not suspects.is_excluded(NAME, 0.1)
 
 
 def test_target_repeatedly_found_dead_stays_excluded():
     suspects, reported = Suspects(), []
-    suspects.watch(reported.append)
+    suspects.add_dead_listener(reported.append)
     for step in range(20):
         now = 0.6 * step
         suspects.note(NAME, Finding.DEAD, now)
@@ -83,9 +83,9 @@
 
 def test_target_that_loses_requests_is_excluded_and_not_reported_dead():
     suspects, reported = Suspects(), []
-    suspects.watch(reported.append)
+    suspects.add_dead_listener(reported.append)
     suspects.note(NAME, Finding.FAILED, 0.0)
     assert suspects.is_failing(NAME, FAILED_EXCLUSION_SECONDS / 2)
     assert not suspects.is_dead(NAME, FAILED_EXCLUSION_SECONDS / 2)
-    assert not suspects.is_out(NAME, FAILED_EXCLUSION_SECONDS)
+    assert not suspects.is_excluded(NAME, FAILED_EXCLUSION_SECONDS)
     assert reported == []
