--- a/marigoldswitch/core/bounds.py
+++ b/marigoldswitch/core/bounds.py
@@ -46,9 +46,9 @@
     if tokens == 0.0:
         return LoadBound(0.0, float("inf"), 0.0)
     step_factor = sum(item.memory_mb * item.step_factor for item in engines) / memory
-    read_factor = sum(item.memory_mb * item.read_factor for item in engines) / memory
+    read_factor = sum(item.memory_mb * item.prefill_factor for item in engines) / memory
     seconds = answer_tokens * model.step_seconds * step_factor
-    seconds += prompt_tokens * model.read_seconds * read_factor
+    seconds += prompt_tokens * model.prefill_seconds_per_token * read_factor
     return LoadBound(
         tokens, seconds, tokens / (prompt_tokens + answer_tokens) / seconds
     )
--- a/marigoldswitch/core/crossings.py
+++ b/marigoldswitch/core/crossings.py
@@ -25,11 +25,11 @@
 class CrossingBudget:
     """One host's share of the link, as a token bucket of seconds of link time."""
 
-    level: float = BURST_SECONDS
+    available_seconds: float = BURST_SECONDS
     """Seconds in the bucket; negative while running streams have overdrawn it."""
     _refilled_at: float = 0.0
 
-    def has_room(
+    def can_spend(
         self, seconds: float, hosts: int, now: float, is_new: bool = True
     ) -> bool:
         """Return whether the budget allows some link time; refill it first.
@@ -39,21 +39,25 @@
         :param is_new: the caller has received no part of an answer yet.
         """
         refill = (now - self._refilled_at) * LINK_SHARE / max(1, hosts)
-        self.level = min(BURST_SECONDS, self.level + max(0.0, refill))
+        self.available_seconds = min(
+            BURST_SECONDS, self.available_seconds + max(0.0, refill)
+        )
         self._refilled_at = now
         overdraft = 0.0 if is_new else OVERDRAFT_SECONDS
-        return seconds <= 0.0 or seconds <= self.level + overdraft
+        return seconds <= 0.0 or seconds <= self.available_seconds + overdraft
 
-    def take(self, seconds: float, hosts: int, now: float, is_new: bool = True) -> bool:
+    def try_spend(
+        self, seconds: float, hosts: int, now: float, is_new: bool = True
+    ) -> bool:
         """Spend link time if the budget allows it; return whether it did.
 
-        Takes the parameters of :meth:`has_room`.
+        Takes the parameters of :meth:`can_spend`.
         """
-        has_room = self.has_room(seconds, hosts, now, is_new)
+        has_room = self.can_spend(seconds, hosts, now, is_new)
         if has_room:
             self.spend(seconds)
         return has_room
 
     def spend(self, seconds: float) -> None:
         """Take link time from the budget without a check."""
-        self.level -= seconds
+        self.available_seconds -= seconds
--- a/marigoldswitch/core/deputies.py
+++ b/marigoldswitch/core/deputies.py
@@ -20,7 +20,7 @@
 
 from marigoldswitch.core.ids import HostId
 
-AWAY_SECONDS = 1.6
+STORE_TIMEOUT_SECONDS = 1.6
 """Time without contact to the store after which it counts as unavailable. Longer than
 another host's report that the store answers stays valid, and than the 1.2 s after which
 a lease holder announces that it gives up the lease."""
@@ -36,24 +36,30 @@
     """A store outage, as one host sees it.
 
     :param host: this host.
-    :param lost_seconds: seconds since the store last answered it; 0 while it answers.
+    :param outage_seconds: seconds since the store last answered it; 0 while it answers.
     :param hears_reader: another host has reported that the store answers it.
     :param hears_holder: another host has reported that it holds the lease.
-    :param ages: seconds since the last digest of each other host of the data centre.
+    :param digest_ages: seconds since the last digest of each other host of the data centre.
     """
 
     host: HostId
-    lost_seconds: float
+    outage_seconds: float
     hears_reader: bool
     hears_holder: bool
-    ages: Mapping[HostId, float]
+    digest_ages: Mapping[HostId, float]
 
 
 def is_deputy(view: OutageView) -> bool:
     """Return whether a host should act as the deputy of its data centre."""
-    if view.hears_reader or view.hears_holder or view.lost_seconds < AWAY_SECONDS:
+    if (
+        view.hears_reader
+        or view.hears_holder
+        or view.outage_seconds < STORE_TIMEOUT_SECONDS
+    ):
         return False
-    live_hosts = [host for host, age in view.ages.items() if age < HOST_TIMEOUT_SECONDS]
-    if 1 + len(live_hosts) < QUORUM * (1 + len(view.ages)):
+    live_hosts = [
+        host for host, age in view.digest_ages.items() if age < HOST_TIMEOUT_SECONDS
+    ]
+    if 1 + len(live_hosts) < QUORUM * (1 + len(view.digest_ages)):
         return False
     return view.host == min([view.host, *live_hosts])
--- a/marigoldswitch/core/layer_cover.py
+++ b/marigoldswitch/core/layer_cover.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineSlot:
+class LayoutEngine:
     """An engine as input of the layout planner.
 
     :param accelerator: name of its accelerator kind.
@@ -30,39 +30,39 @@
     :ivar held: layer range of each engine that holds any.
     :ivar copies: number of engines that hold each layer.
     :ivar holder_sizes: sum of the range lengths of each layer's holders.
-    :ivar rooms: capacity of each layer: context tokens that its holders have memory for
+    :ivar capacities: capacity of each layer: context tokens that its holders have memory for
         together.
     """
 
-    def __init__(self, model: ModelSpec, engines: Iterable[EngineSlot]) -> None:
+    def __init__(self, model: ModelSpec, engines: Iterable[LayoutEngine]) -> None:
         self.held: dict[TargetId, LayerRange] = {}
         self.copies = [0] * model.layers
         self.holder_sizes = [0] * model.layers
-        self.rooms = [0.0] * model.layers
+        self.capacities = [0.0] * model.layers
         self._model = model
         for engine in engines:
             if engine.layers is not None:
-                self.put(engine, engine.layers)
+                self.assign(engine, engine.layers)
 
-    def put(self, engine: EngineSlot, layers: LayerRange) -> None:
+    def assign(self, engine: LayoutEngine, layers: LayerRange) -> None:
         """Record an engine's layers, in place of those that it held before."""
         if engine.target in self.held:
             self.unassign(engine)
         self.held[engine.target] = layers
         self._update_layers(engine, layers, 1)
 
-    def unassign(self, engine: EngineSlot) -> None:
+    def unassign(self, engine: LayoutEngine) -> None:
         """Record that an engine holds nothing any more."""
         self._update_layers(engine, self.held.pop(engine.target), -1)
 
-    def measure_capacity(self, engine: EngineSlot, layers: LayerRange) -> float:
+    def measure_capacity(self, engine: LayoutEngine, layers: LayerRange) -> float:
         """Return the context tokens that fit on an engine beside ``layers``."""
         accelerator = self._model.accelerators[engine.accelerator]
         return self._model.count_tokens(accelerator, layers)
 
     def min_capacity(self, layers: LayerRange) -> float:
         """Return the capacity of the layer with the least, in context tokens."""
-        return min(self.rooms[layers.first : layers.end])
+        return min(self.capacities[layers.first : layers.end])
 
     def min_copies(self, layers: LayerRange) -> int:
         """Return the number of copies of the layer with the fewest."""
@@ -80,10 +80,12 @@
                 holes.append(LayerRange(layer, layer + 1))
         return holes
 
-    def _update_layers(self, engine: EngineSlot, layers: LayerRange, sign: int) -> None:
+    def _update_layers(
+        self, engine: LayoutEngine, layers: LayerRange, sign: int
+    ) -> None:
         capacity = sign * self.measure_capacity(engine, layers)
         span = sign * (layers.end - layers.first)
         for layer in range(layers.first, layers.end):
             self.copies[layer] += sign
             self.holder_sizes[layer] += span
-            self.rooms[layer] += capacity
+            self.capacities[layer] += capacity
--- a/marigoldswitch/core/layouts.py
+++ b/marigoldswitch/core/layouts.py
@@ -24,7 +24,7 @@
     group_engines,
 )
 from marigoldswitch.core.ids import TargetId
-from marigoldswitch.core.layer_cover import EngineSlot, LayerCover
+from marigoldswitch.core.layer_cover import LayerCover, LayoutEngine
 from marigoldswitch.core.models import Accelerator, ModelSpec
 
 MIN_FREE_TOKENS = 8_000
@@ -46,7 +46,7 @@
 
 
 def plan_layout(
-    model: ModelSpec, engines: Iterable[EngineSlot]
+    model: ModelSpec, engines: Iterable[LayoutEngine]
 ) -> dict[TargetId, LayerRange]:
     """Return the new layers of engines to change; skip unknown accelerators."""
     known = [item for item in engines if item.accelerator in model.accelerators]
@@ -65,7 +65,7 @@
     """
 
     def __init__(
-        self, model: ModelSpec, engines: Sequence[EngineSlot], is_initial: bool
+        self, model: ModelSpec, engines: Sequence[LayoutEngine], is_initial: bool
     ) -> None:
         self._model = model
         self._engines = engines
@@ -108,7 +108,7 @@
             if not engine.is_busy and not self._assign_hole(engine):
                 self._assign_copy(engine, overcommitted)
 
-    def _assign_hole(self, engine: EngineSlot) -> bool:
+    def _assign_hole(self, engine: LayoutEngine) -> bool:
         """Assign the start of the first hole to an engine; return whether it did."""
         holes = self._cover.list_holes()
         size = min(self._nominal_size(engine), self._max_added)
@@ -119,7 +119,7 @@
         return True
 
     def _assign_copy(
-        self, engine: EngineSlot, overcommitted: Iterable[tuple[LayerRange, int]]
+        self, engine: LayoutEngine, overcommitted: Iterable[tuple[LayerRange, int]]
     ) -> None:
         """Assign the run of layers with the highest score to an engine.
 
@@ -174,7 +174,7 @@
                 self._assign(engine, layers)
 
     def _choose_extension(
-        self, engine: EngineSlot, held: LayerRange, layers: LayerRange
+        self, engine: LayoutEngine, held: LayerRange, layers: LayerRange
     ) -> LayerRange | None:
         """Return ``layers`` with one more layer at either end, or ``None``.
 
@@ -223,7 +223,7 @@
 
     def _split_hole(
         self, hole: LayerRange
-    ) -> list[tuple[EngineSlot, LayerRange, float]] | None:
+    ) -> list[tuple[LayoutEngine, LayerRange, float]] | None:
         """Return new ranges of a hole's neighbours and the capacity each has left.
 
         Maximizes the lowest capacity left; ``None`` if the neighbours can't close it.
@@ -247,10 +247,10 @@
         return best
 
     def _choose_neighbour(
-        self, engines: Iterable[EngineSlot], first: int, end: int
-    ) -> tuple[EngineSlot, LayerRange, float] | None:
+        self, engines: Iterable[LayoutEngine], first: int, end: int
+    ) -> tuple[LayoutEngine, LayerRange, float] | None:
         """Return the engine with most capacity left, its new range and the capacity."""
-        best: tuple[EngineSlot, LayerRange, float] | None = None
+        best: tuple[LayoutEngine, LayerRange, float] | None = None
         for engine in engines:
             held = self._cover.held[engine.target]
             layers = LayerRange(min(first, held.first), max(end, held.end))
@@ -261,7 +261,7 @@
                 best = (engine, layers, capacity)
         return best
 
-    def _find_spare_engine(self) -> EngineSlot | None:
+    def _find_spare_engine(self) -> LayoutEngine | None:
         """Return the slowest engine all of whose layers have another holder."""
         spare_engines = [
             engine
@@ -330,7 +330,7 @@
             if layers != held:
                 self._assign(engine, layers)
 
-    def _shrink(self, engine: EngineSlot, excess: int) -> LayerRange:
+    def _shrink(self, engine: LayoutEngine, excess: int) -> LayerRange:
         """Return an engine's range without up to ``excess`` layers at its ends.
 
         Only layers for which the other holders have enough capacity are dropped.
@@ -338,7 +338,7 @@
         held = self._cover.held[engine.target]
         own_capacity = self._cover.measure_capacity(engine, held)
         required = own_capacity + OVERCOMMITTED_SHARE * self._goal
-        capacities = self._cover.rooms
+        capacities = self._cover.capacities
         first, end = held.first, held.end
         while excess > 0 and end - first > 1:
             if capacities[first] >= required:
@@ -352,7 +352,7 @@
 
     # Lookups.
 
-    def _list_idle(self) -> list[EngineSlot]:
+    def _list_idle(self) -> list[LayoutEngine]:
         """Return the engines that hold layers and have no order in progress."""
         return [
             item
@@ -360,7 +360,7 @@
             if item.target in self._cover.held and not item.is_busy
         ]
 
-    def _list_available(self, include_changed: bool = False) -> list[EngineSlot]:
+    def _list_available(self, include_changed: bool = False) -> list[LayoutEngine]:
         """Return the idle engines; by default only those without a planned change."""
         return [
             item
@@ -368,15 +368,15 @@
             if include_changed or item.target not in self._changes
         ]
 
-    def _accelerator(self, engine: EngineSlot) -> Accelerator:
+    def _accelerator(self, engine: LayoutEngine) -> Accelerator:
         return self._model.accelerators[engine.accelerator]
 
-    def _nominal_size(self, engine: EngineSlot) -> int:
+    def _nominal_size(self, engine: LayoutEngine) -> int:
         """Return how many layers fit on an engine beside the capacity goal."""
         return self._model.count_layers(self._accelerator(engine), self._goal)
 
-    def _assign(self, engine: EngineSlot, layers: LayerRange) -> None:
-        self._cover.put(engine, layers)
+    def _assign(self, engine: LayoutEngine, layers: LayerRange) -> None:
+        self._cover.assign(engine, layers)
         self._changes[engine.target] = layers
 
 
--- a/marigoldswitch/core/models.py
+++ b/marigoldswitch/core/models.py
@@ -12,13 +12,13 @@
 
     :param memory_mb: memory for weights and the KV cache of requests, in MB.
     :param step_factor: time of a decode step, relative to the reference accelerator.
-    :param read_factor: time to process a prompt, relative to the reference accelerator.
+    :param prefill_factor: time to process a prompt, relative to the reference accelerator.
     """
 
     name: str
     memory_mb: float
     step_factor: float
-    read_factor: float
+    prefill_factor: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,11 +32,11 @@
     :param token_layer_mb: KV cache of one token in one layer, in MB.
     :param step_seconds: decode step of an otherwise idle engine.
     :param sequence_seconds: added to a step by each request that is decoded.
-    :param context_seconds: added to a step by each token of context.
-    :param read_seconds: time to process one token of a prompt.
+    :param context_seconds_per_token: added to a step by each token of context.
+    :param prefill_seconds_per_token: time to process one token of a prompt.
     :param load_seconds: time to load all layers.
     :param loads_at_once: number of parallel loads that don't slow each other down.
-    :param crossing_seconds: time that one token of a prompt occupies the link between
+    :param crossing_seconds_per_token: time that one token of a prompt occupies the link between
         data centres.
     :param accelerators: accelerator kinds by name.
     """
@@ -46,11 +46,11 @@
     token_layer_mb: float
     step_seconds: float
     sequence_seconds: float
-    context_seconds: float
-    read_seconds: float
+    context_seconds_per_token: float
+    prefill_seconds_per_token: float
     load_seconds: float = 0.0
     loads_at_once: int = 1
-    crossing_seconds: float = 0.0
+    crossing_seconds_per_token: float = 0.0
     accelerators: Mapping[str, Accelerator] = field(default_factory=dict)
 
     def count_layers(self, accelerator: Accelerator, tokens: float) -> int:
@@ -68,11 +68,13 @@
         free_mb = accelerator.memory_mb - count * self.layer_mb
         return max(0.0, free_mb / (count * self.token_layer_mb))
 
-    def measure_memory(self, accelerator: Accelerator, layers: LayerRange) -> float:
+    def measure_request_memory(
+        self, accelerator: Accelerator, layers: LayerRange
+    ) -> float:
         """Return the memory for requests beside the layers, in tokens times layers."""
         return self.count_tokens(accelerator, layers) * (layers.end - layers.first)
 
-    def estimate_step(
+    def estimate_layer_seconds(
         self, accelerator: Accelerator, running: float, context_tokens: float
     ) -> float:
         """Return the seconds that one layer adds to a decode step.
@@ -83,6 +85,6 @@
         model_seconds = (
             self.step_seconds
             + self.sequence_seconds * running
-            + self.context_seconds * context_tokens
+            + self.context_seconds_per_token * context_tokens
         )
         return accelerator.step_factor * model_seconds / self.layers
--- a/marigoldswitch/core/paths.py
+++ b/marigoldswitch/core/paths.py
@@ -63,7 +63,7 @@
     return path.build_chain() if path is not None else None
 
 
-def mend_chain(
+def repair_chain(
     stages: Sequence[Stage],
     lost: Collection[TargetId],
     offers: Sequence[StageOffer],
@@ -103,7 +103,7 @@
     return Chain(tuple(repaired), cost, crossings)
 
 
-def find_near_chain(
+def find_single_centre_chain(
     offers: Iterable[StageOffer],
     layers: int,
     home: DataCentre,
@@ -166,7 +166,7 @@
     return best
 
 
-def has_chain(ranges: Sequence[LayerRange], layers: int) -> bool:
+def covers_model(ranges: Sequence[LayerRange], layers: int) -> bool:
     """Return whether layer ranges together cover all layers of a model."""
     reached = 0
     for item in sorted(ranges, key=lambda item: item.first):
--- a/marigoldswitch/core/routes.py
+++ b/marigoldswitch/core/routes.py
@@ -37,10 +37,10 @@
     :param timeout: longest time that a caller waits for a final answer, in seconds.
     :param priority: of its requests; 0 is served first.
     :param services: the services that answer them.
-    :param most_targets: most targets on which one request may run, one after the other.
+    :param max_targets: most targets on which one request may run, one after the other.
     :param is_public: callers need no key.
     :param is_resumable: another target can continue a stream after its last event.
-    :param longest_gap: longest pause between two events of a stream that is on time, in
+    :param max_event_gap: longest pause between two events of a stream that is on time, in
         seconds; 0 if none is set.
     :param latency_target: seconds within which an answer should arrive.
     :param caller_patience: seconds without an event after which callers leave a stream.
@@ -53,10 +53,10 @@
     timeout: float
     priority: int
     services: tuple[WeightedService, ...]
-    most_targets: int = 1
+    max_targets: int = 1
     is_public: bool = False
     is_resumable: bool = False
-    longest_gap: float = 0.0
+    max_event_gap: float = 0.0
     latency_target: float = 0.5
     caller_patience: float = 2.0
 
@@ -80,12 +80,12 @@
 class ServiceSpec:
     """Configuration of a service.
 
-    :param most_connections: most connections of all hosts to one target.
+    :param max_connections: most connections of all hosts to one target.
     :param model: the model that its engines run; ``None`` for a plain service.
     """
 
     name: ServiceName
-    most_connections: int = 0
+    max_connections: int = 0
     model: ModelSpec | None = None
 
 
--- a/marigoldswitch/core/selection.py
+++ b/marigoldswitch/core/selection.py
@@ -82,7 +82,7 @@
             return None
         return min(candidates, key=lambda item: self._cost(item, loads, now))
 
-    def estimate(self, target: TargetId, now: float) -> float:
+    def estimate_seconds(self, target: TargetId, now: float) -> float:
         """Return the expected answer time of a target, in seconds."""
         stats = self._stats.get(target)
         if stats is None:
@@ -112,7 +112,7 @@
         self, target: TargetId, seconds: float, failed: float, now: float
     ) -> None:
         stats = self._stats[target]
-        stats.mean_seconds = self.estimate(target, now)
+        stats.mean_seconds = self.estimate_seconds(target, now)
         stats.mean_seconds += SAMPLE_WEIGHT * (seconds - stats.mean_seconds)
         stats.failure_rate *= _decay(stats, now)
         stats.failure_rate += SAMPLE_WEIGHT * (failed - stats.failure_rate)
@@ -126,7 +126,7 @@
 
     def _cost(self, target: Target, loads: Loads, now: float) -> float:
         usage = loads.get(target.id)
-        cost = self.estimate(target.id, now) * (1.0 + usage.requests)
+        cost = self.estimate_seconds(target.id, now) * (1.0 + usage.requests)
         stats = self._stats[target.id]
         cost *= 1.0 + FAILURE_WEIGHT * stats.failure_rate * _decay(stats, now)
         if target.data_centre != self._home:
--- a/marigoldswitch/core/stages.py
+++ b/marigoldswitch/core/stages.py
@@ -48,7 +48,7 @@
     crossings: int
 
 
-def find_stage(stages: Sequence[Stage], address: str | None) -> TargetId:
+def find_stage_target(stages: Sequence[Stage], address: str | None) -> TargetId:
     """Return the target of the stage with an address; the first target if none has."""
     for stage in stages:
         if stage.address == address:
@@ -111,7 +111,7 @@
         return self.layer_seconds * (1.0 + FULL_ENGINE_SURCHARGE * used * used)
 
 
-def choose_layers(
+def choose_offered_layers(
     layers: LayerRange, first_stage_requests: int, slots: int
 ) -> LayerRange | None:
     """Return the layers that an engine offers: without the first if no slot is free.
--- a/marigoldswitch/gateway/exchanges.py
+++ b/marigoldswitch/gateway/exchanges.py
@@ -79,7 +79,7 @@
         """Tell whether the route allows another run, leaving aside the retry budget."""
         if not self.route.is_idempotent:
             return self.ran == 0
-        return self.ran - self.discounted_runs < self.route.most_targets
+        return self.ran - self.discounted_runs < self.route.max_targets
 
 
 class Refused(Exception):
@@ -181,7 +181,7 @@
     request arrives, it can't be told whether it has run. Nor may one to targets that
     accept few connections: they have no room for idle ones.
     """
-    max_connections = exchange.service.most_connections
+    max_connections = exchange.service.max_connections
     if not may_keep_connections(max_connections, parts.planner.count_hosts()):
         return True
     return not exchange.route.is_idempotent
--- a/marigoldswitch/gateway/orderer.py
+++ b/marigoldswitch/gateway/orderer.py
@@ -16,9 +16,9 @@
 
 from marigoldswitch.core.catalogue import LayerRange, Target
 from marigoldswitch.core.deputies import is_deputy
-from marigoldswitch.core.engine_groups import holds_model
+from marigoldswitch.core.engine_groups import fits_model
 from marigoldswitch.core.ids import DataCentre, HostId, ServiceName, TargetId
-from marigoldswitch.core.layer_cover import EngineSlot
+from marigoldswitch.core.layer_cover import LayoutEngine
 from marigoldswitch.core.layouts import plan_layout
 from marigoldswitch.core.leases import LEASE_TABLE, Lease, LeaseTerms, encode_lease
 from marigoldswitch.core.models import ModelSpec
@@ -112,7 +112,7 @@
         self._region = region
         self._pending: dict[TargetId, PendingOrder] = {}
         self._changed_at = clock.monotonic()
-        self._stable: dict[ServiceName, list[EngineSlot]] = {}
+        self._stable: dict[ServiceName, list[LayoutEngine]] = {}
         """Engine states for which the last plan required no change, by service."""
         self._returned_at: dict[DataCentre, float] = {}
         """When an engine that already held layers last joined each data centre."""
@@ -170,8 +170,8 @@
         self._pending.clear()
         logger.info(
             "deputy_began" if stands_in else "deputy_ended",
-            lost=round(view.lost_seconds, 2),
-            near=len(view.ages),
+            lost=round(view.outage_seconds, 2),
+            near=len(view.digest_ages),
             hears_reader=view.hears_reader,
             hears_holder=view.hears_holder,
         )
@@ -248,7 +248,7 @@
         engines = [self._build_slot(item) for item in self._exclude_dead(targets)]
         if not self._is_settled(engines) or engines == self._stable.get(service.name):
             return
-        if self._is_deputy and not holds_model(model, engines):
+        if self._is_deputy and not fits_model(model, engines):
             # The model spans data centres, of which a deputy orders only its own.
             return
         wanted = plan_layout(model, engines)
@@ -289,7 +289,7 @@
             item for item in targets if item.id not in dead or item.data_centre in cut
         ]
 
-    def _build_slot(self, target: Target) -> EngineSlot:
+    def _build_slot(self, target: Target) -> LayoutEngine:
         pending = self._pending.get(target.id)
         now = self._clock.monotonic()
         layers = target.layers
@@ -297,7 +297,7 @@
             layers = pending.layers
         returned = self._returned_at.get(target.data_centre, float("-inf"))
         is_unsettled = now - returned < RETURN_SETTLE_SECONDS
-        return EngineSlot(
+        return LayoutEngine(
             target.id,
             target.data_centre,
             target.accelerator,
@@ -307,7 +307,7 @@
             or target.data_centre in self._partitioned,
         )
 
-    def _is_settled(self, engines: list[EngineSlot]) -> bool:
+    def _is_settled(self, engines: list[LayoutEngine]) -> bool:
         """Return whether the layout may be planned now."""
         if any(item.layers is not None for item in engines):
             return True
--- a/marigoldswitch/gateway/plain.py
+++ b/marigoldswitch/gateway/plain.py
@@ -134,10 +134,12 @@
         exchange = self._exchange
         if pending > 1 or not exchange.route.is_idempotent:
             return None
-        if exchange.sent >= exchange.route.most_targets or not self._tried:
+        if exchange.sent >= exchange.route.max_targets or not self._tried:
             return None
         now = self._parts.clock.monotonic()
-        expected = min(self._selector.estimate(item, now) for item in self._tried)
+        expected = min(
+            self._selector.estimate_seconds(item, now) for item in self._tried
+        )
         return max(MIN_HEDGE_DELAY_SECONDS, HEDGE_DELAY_FACTOR * expected)
 
     async def _send_next(self, is_hedge: bool) -> SendEnd | None:
@@ -272,7 +274,7 @@
     def _may_retry(self) -> bool:
         """Tell whether the route allows sending the request to one more target."""
         exchange = self._exchange
-        if exchange.sent >= exchange.route.most_targets:
+        if exchange.sent >= exchange.route.max_targets:
             return False
         return exchange.route.is_idempotent or exchange.ran == 0
 
--- a/marigoldswitch/gateway/planner.py
+++ b/marigoldswitch/gateway/planner.py
@@ -10,10 +10,10 @@
 from marigoldswitch.core.models import ModelSpec
 from marigoldswitch.core.paths import (
     choose_jitter,
+    covers_model,
     find_chain,
-    find_near_chain,
-    has_chain,
-    mend_chain,
+    find_single_centre_chain,
+    repair_chain,
 )
 from marigoldswitch.core.ports import Clock
 from marigoldswitch.core.routes import ServiceSpec
@@ -21,7 +21,7 @@
     Chain,
     Stage,
     StageOffer,
-    choose_layers,
+    choose_offered_layers,
     count_crossings,
 )
 from marigoldswitch.gateway.directory import Directory
@@ -82,7 +82,9 @@
         offers = self._list_offers(service, model, tokens)
         offers = [item for item in offers if item.target not in avoid]
         jitter = choose_jitter(self.count_near())
-        near = find_near_chain(offers, model.layers, self._home, self._source, jitter)
+        near = find_single_centre_chain(
+            offers, model.layers, self._home, self._source, jitter
+        )
         if near is not None:
             return near
         for list_fallback in (self._list_leaving, self._list_failing):
@@ -91,7 +93,9 @@
             if not more:
                 continue
             offers += more
-            near = find_near_chain(offers, model.layers, self._home, self._source)
+            near = find_single_centre_chain(
+                offers, model.layers, self._home, self._source
+            )
             if near is not None:
                 return near
         wide = find_chain(offers, LayerRange(0, model.layers), self._source)
@@ -101,7 +105,7 @@
         hosts, now = self.count_hosts(), self._clock.monotonic()
         return (
             wide
-            if self._crossing_budget.has_room(seconds, hosts, now, is_new)
+            if self._crossing_budget.can_spend(seconds, hosts, now, is_new)
             else None
         )
 
@@ -140,13 +144,13 @@
         attempts = ((lost, near), (lost, offers), (rest, near), (rest, offers))
         old_crossings = count_crossings([centres[item.target] for item in stages])
         for excluded, candidates in attempts:
-            chain = mend_chain(stages, excluded, candidates, centres, self._source)
+            chain = repair_chain(stages, excluded, candidates, centres, self._source)
             if chain is None:
                 continue
             added_crossings = max(0, chain.crossings - old_crossings)
             seconds = _estimate_crossing_seconds(added_crossings, model, tokens)
             now = self._clock.monotonic()
-            if self._crossing_budget.take(seconds, self.count_hosts(), now):
+            if self._crossing_budget.try_spend(seconds, self.count_hosts(), now):
                 return chain
         return None
 
@@ -170,10 +174,10 @@
         layers = service.model.layers
         return {
             "engines": len(offers),
-            "covered": has_chain(ranges, layers),
-            "covered_with_room": has_chain(ranges_with_room, layers),
+            "covered": covers_model(ranges, layers),
+            "covered_with_room": covers_model(ranges_with_room, layers),
             "with_room": len(ranges_with_room),
-            "crossing_seconds_left": round(self._crossing_budget.level, 3),
+            "crossing_seconds_left": round(self._crossing_budget.available_seconds, 3),
         }
 
     def hold(self, stages: Sequence[Stage], tokens: int) -> None:
@@ -247,15 +251,15 @@
         layers = target.layers
         if accelerator is None or layers is None:
             return None
-        capacity = model.measure_memory(accelerator, layers)
+        capacity = model.measure_request_memory(accelerator, layers)
         if capacity <= 0.0:
             return None
         usage = self._loads.get(target.id)
-        offered = choose_layers(layers, usage.begun, target.slots)
+        offered = choose_offered_layers(layers, usage.begun, target.slots)
         if offered is None:
             return None
         context = usage.memory / (layers.end - layers.first)
-        seconds = model.estimate_step(accelerator, usage.requests, context)
+        seconds = model.estimate_layer_seconds(accelerator, usage.requests, context)
         return StageOffer(
             target.id,
             target.address,
@@ -270,7 +274,7 @@
 
 def _estimate_crossing_seconds(crossings: int, model: ModelSpec, tokens: int) -> float:
     """Return the seconds for which a prompt occupies the link between data centres."""
-    return crossings * tokens * model.crossing_seconds
+    return crossings * tokens * model.crossing_seconds_per_token
 
 
 def _build_usage(stage: Stage, tokens: int) -> Usage:
--- a/marigoldswitch/gateway/streams.py
+++ b/marigoldswitch/gateway/streams.py
@@ -16,7 +16,7 @@
 from marigoldswitch.core.errors import ErrorKind, Fault
 from marigoldswitch.core.event_stream import EventTooLong
 from marigoldswitch.core.ids import TargetId
-from marigoldswitch.core.stages import Chain, Stage, describe_stages, find_stage
+from marigoldswitch.core.stages import Chain, Stage, describe_stages, find_stage_target
 from marigoldswitch.core.suspects import Finding
 from marigoldswitch.gateway.detours import ChainBroken, ChainMonitor
 from marigoldswitch.gateway.exchanges import (
@@ -216,7 +216,7 @@
         self._refusals += 1
         exchange.trail.append(f"refused by {at_fault or stages[0].address}")
         parts.directory.suspects.note(
-            find_stage(stages, at_fault), Finding.REFUSED, now
+            find_stage_target(stages, at_fault), Finding.REFUSED, now
         )
         has_begun = exchange.response is not None
         if self._refusals >= (MAX_RESUME_REFUSALS if has_begun else MAX_REFUSALS):
@@ -386,7 +386,7 @@
         may_retry = exchange.route.is_idempotent and reply.status >= 500
         if exchange.response is not None:
             raise ChainBroken(f"status {reply.status}")
-        if may_retry and exchange.ran < exchange.route.most_targets:
+        if may_retry and exchange.ran < exchange.route.max_targets:
             raise ChainBroken(f"status {reply.status}")
         body = await reply.content.read(MAX_ERROR_BODY_BYTES)
         headers = self._parts.codec.write_reply(reply.headers)
--- a/marigoldswitch/tests/test_bounds.py
+++ b/marigoldswitch/tests/test_bounds.py
@@ -9,7 +9,7 @@
 
 from marigoldswitch.core.bounds import bound_load
 from marigoldswitch.core.ids import DataCentre, TargetId
-from marigoldswitch.core.layer_cover import EngineSlot, LayerCover
+from marigoldswitch.core.layer_cover import LayerCover, LayoutEngine
 from marigoldswitch.core.layouts import plan_layout
 from marigoldswitch.tests.gateway_site import build_configuration
 from marigoldswitch.tests.test_layouts import KINDS, MODEL
@@ -18,16 +18,16 @@
 @given(st.lists(st.sampled_from(sorted(KINDS)), min_size=1, max_size=30))
 def test_no_layout_carries_more_than_the_bound(kinds):
     engines = [
-        EngineSlot(TargetId(f"e{index:02}"), DataCentre("a"), kind, None)
+        LayoutEngine(TargetId(f"e{index:02}"), DataCentre("a"), kind, None)
         for index, kind in enumerate(kinds)
     ]
     layout = plan_layout(MODEL, engines)
     cover = LayerCover(MODEL, [])
     for engine in engines:
         if engine.target in layout:
-            cover.put(engine, layout[engine.target])
+            cover.assign(engine, layout[engine.target])
     load = bound_load(MODEL, [KINDS[kind] for kind in kinds], 774.0, 210.0)
-    assert min(cover.rooms) <= load.tokens + 1.0
+    assert min(cover.capacities) <= load.tokens + 1.0
 
 
 def test_bound_of_a_data_centre_by_hand():
--- a/marigoldswitch/tests/test_crossings.py
+++ b/marigoldswitch/tests/test_crossings.py
@@ -14,7 +14,7 @@
     taken = 0.0
     for step in range(10_000):
         for budget in budgets:
-            if budget.take(seconds, hosts, step / 100.0):
+            if budget.try_spend(seconds, hosts, step / 100.0):
                 taken += seconds
     assert taken <= LINK_SHARE * 100.0 + hosts * BURST_SECONDS + 0.01
     assert taken >= 0.9 * LINK_SHARE * 100.0
@@ -22,9 +22,9 @@
 
 def test_chain_without_crossings_is_free():
     budget = CrossingBudget()
-    while budget.take(0.05, 1, 0.0):
+    while budget.try_spend(0.05, 1, 0.0):
         pass
-    assert budget.take(0.0, 1, 0.0)
+    assert budget.try_spend(0.0, 1, 0.0)
 
 
 def test_running_streams_get_a_crossing_when_new_requests_take_all():
@@ -38,11 +38,11 @@
     streams, moved = 6, []
     for step in range(500):
         now = step / 50.0
-        while budget.take(seconds, hosts, now):
+        while budget.try_spend(seconds, hosts, now):
             pass
         if step % 50 == 49 and streams:
             streams -= 1
-            moved.append(budget.take(seconds, hosts, now, is_new=False))
+            moved.append(budget.try_spend(seconds, hosts, now, is_new=False))
     assert all(moved)
 
 
@@ -52,7 +52,7 @@
     for step in range(10_000):
         now = step / 100.0
         for is_new in (True, False):
-            if budget.take(seconds, hosts, now, is_new):
+            if budget.try_spend(seconds, hosts, now, is_new):
                 taken += seconds
     most = LINK_SHARE * 100.0 / hosts + BURST_SECONDS + OVERDRAFT_SECONDS
     assert taken <= most + 0.01
@@ -60,7 +60,7 @@
 
 def test_chain_without_crossings_is_free_while_overdrawn():
     budget = CrossingBudget()
-    while budget.take(0.05, 1, 0.0, is_new=False):
+    while budget.try_spend(0.05, 1, 0.0, is_new=False):
         pass
-    assert budget.level < 0.0
-    assert budget.take(0.0, 1, 0.0)
+    assert budget.available_seconds < 0.0
+    assert budget.try_spend(0.0, 1, 0.0)
--- a/marigoldswitch/tests/test_deputies.py
+++ b/marigoldswitch/tests/test_deputies.py
@@ -6,8 +6,8 @@
 from hypothesis import given, strategies as st
 
 from marigoldswitch.core.deputies import (
-    AWAY_SECONDS,
     HOST_TIMEOUT_SECONDS,
+    STORE_TIMEOUT_SECONDS,
     OutageView,
     is_deputy,
 )
@@ -32,7 +32,7 @@
     "view",
     [
         build_view(HOSTS[0], HOSTS, outage=0.0),
-        build_view(HOSTS[0], HOSTS, outage=AWAY_SECONDS / 2),
+        build_view(HOSTS[0], HOSTS, outage=STORE_TIMEOUT_SECONDS / 2),
         build_view(HOSTS[0], HOSTS, reader=True),
         build_view(HOSTS[0], HOSTS, holder=True),
         build_view(HOSTS[1], HOSTS),
--- a/marigoldswitch/tests/test_detours.py
+++ b/marigoldswitch/tests/test_detours.py
@@ -65,7 +65,7 @@
             engines=self,
         )
         call = SimpleNamespace(id="r", path="/", last_event=None, tokens=1)
-        route = SimpleNamespace(most_targets=2, is_idempotent=True)
+        route = SimpleNamespace(max_targets=2, is_idempotent=True)
         service = SimpleNamespace(name="m")
         self.exchange = Exchange(
             None, call, b"", route, service, None, 1, self.now, self.now + 20.0, ran=1
--- a/marigoldswitch/tests/test_layouts.py
+++ b/marigoldswitch/tests/test_layouts.py
@@ -7,7 +7,7 @@
 from marigoldswitch.core.catalogue import LayerRange
 from marigoldswitch.core.engine_groups import CAPACITY_GOALS, choose_capacity_goal
 from marigoldswitch.core.ids import DataCentre, TargetId
-from marigoldswitch.core.layer_cover import EngineSlot
+from marigoldswitch.core.layer_cover import LayoutEngine
 from marigoldswitch.core.layouts import OVERCOMMITTED_SHARE, plan_layout
 from marigoldswitch.core.models import Accelerator, ModelSpec
 
@@ -40,7 +40,7 @@
         for kind, count in kinds.items():
             for index in range(count):
                 name = TargetId(f"{centre}-{kind}-{index}")
-                slot = EngineSlot(name, DataCentre(centre), kind, held.get(name))
+                slot = LayoutEngine(name, DataCentre(centre), kind, held.get(name))
                 engines.append(slot)
     return engines
 
@@ -231,7 +231,7 @@
         80, 100.0, 0.1, 1e-3, 1e-5, 2e-8, 1e-5, 1.0, 5, accelerators={"roomy": kind}
     )
     engines = [
-        EngineSlot(TargetId(name), DataCentre("a"), "roomy", LayerRange(0, 80))
+        LayoutEngine(TargetId(name), DataCentre("a"), "roomy", LayerRange(0, 80))
         for name in ("x", "y")
     ]
     assert plan_layout(model, engines) == {}
@@ -246,7 +246,7 @@
     )
     held = {name: item for name, item in layout.items() if name != lost}
     busy = [
-        EngineSlot(item.target, item.data_centre, item.accelerator, item.layers, True)
+        LayoutEngine(item.target, item.data_centre, item.accelerator, item.layers, True)
         for item in build_engines(MOSTLY_SMALL, held)
         if item.target != lost
     ]
@@ -308,13 +308,13 @@
 
 
 def test_engine_with_unknown_accelerator_is_ignored():
-    slot = EngineSlot(TargetId("x"), DataCentre("hobart"), "unheard", None)
+    slot = LayoutEngine(TargetId("x"), DataCentre("hobart"), "unheard", None)
     assert plan_layout(MODEL, [slot]) == {}
 
 
 def test_site_short_of_memory_still_holds_the_model():
     engines = [
-        EngineSlot(TargetId(f"s{index}"), DataCentre("hobart"), "small", None)
+        LayoutEngine(TargetId(f"s{index}"), DataCentre("hobart"), "small", None)
         for index in range(8)
     ]
     held = plan_layout(MODEL, engines)
--- a/marigoldswitch/tests/test_old_loads.py
+++ b/marigoldswitch/tests/test_old_loads.py
@@ -7,11 +7,11 @@
 import pytest
 
 from marigoldswitch.core.ids import DataCentre, TargetId
-from marigoldswitch.core.layer_cover import EngineSlot
+from marigoldswitch.core.layer_cover import LayoutEngine
 from marigoldswitch.core.layouts import plan_layout
 from marigoldswitch.core.loads import NOTHING, Usage
 from marigoldswitch.core.models import Accelerator, ModelSpec
-from marigoldswitch.core.paths import choose_jitter, find_near_chain
+from marigoldswitch.core.paths import choose_jitter, find_single_centre_chain
 from marigoldswitch.core.stages import StageOffer
 
 HOME = DataCentre("hobart")
@@ -44,7 +44,7 @@
     def __init__(self, seed, lost=0):
         self.source = random.Random(seed)
         engines = [
-            EngineSlot(TargetId(f"{kind}-{index}"), HOME, kind, None)
+            LayoutEngine(TargetId(f"{kind}-{index}"), HOME, kind, None)
             for kind, count in COUNTS.items()
             for index in range(count)
         ]
@@ -53,7 +53,7 @@
         self.engines = {item.target: item for item in kept if item.target in held}
         self.layers = {name: held[name] for name in self.engines}
         self.capacity = {
-            name: MODEL.measure_memory(KINDS[item.accelerator], held[name])
+            name: MODEL.measure_request_memory(KINDS[item.accelerator], held[name])
             for name, item in self.engines.items()
         }
         self.usage = Counter()
@@ -89,7 +89,9 @@
         tokens = 200 + int(min(3000, self.source.lognormvariate(6.6, 0.6)))
         offers = [self.offer(name, host, tokens) for name in self.engines]
         jitter = choose_jitter(HOSTS)
-        chain = find_near_chain(offers, MODEL.layers, HOME, self.source, jitter)
+        chain = find_single_centre_chain(
+            offers, MODEL.layers, HOME, self.source, jitter
+        )
         self.counts["sent"] += 1
         if chain is None:
             self.counts["refused"] += 1
@@ -122,7 +124,7 @@
     def step_seconds(self, name):
         kind = KINDS[self.engines[name].accelerator]
         context = self.usage[name] / count_layers(self.layers[name])
-        return MODEL.estimate_step(kind, self.requests[name], context)
+        return MODEL.estimate_layer_seconds(kind, self.requests[name], context)
 
     def offer(self, name, host, tokens):
         known = self.published[name].plus(self.unpublished.get((host, name), NOTHING))
@@ -133,7 +135,7 @@
             f"{name}:80",
             HOME,
             self.layers[name],
-            MODEL.estimate_step(
+            MODEL.estimate_layer_seconds(
                 kind, known.requests, known.memory / count_layers(self.layers[name])
             ),
             known.memory / capacity,
--- a/marigoldswitch/tests/test_orderer.py
+++ b/marigoldswitch/tests/test_orderer.py
@@ -6,7 +6,7 @@
 import pytest
 
 from marigoldswitch.core.catalogue import LayerRange, Target
-from marigoldswitch.core.deputies import AWAY_SECONDS, OutageView
+from marigoldswitch.core.deputies import STORE_TIMEOUT_SECONDS, OutageView
 from marigoldswitch.core.ids import DataCentre, HostId, ServiceName, TargetId
 from marigoldswitch.core.models import Accelerator, ModelSpec
 from marigoldswitch.core.registry import TargetRow
@@ -177,7 +177,7 @@
     site.orderer.lease = SimpleNamespace(
         holds=False, fencing=1, may_order=lambda now: False
     )
-    site.outage = OutageView(HOST, AWAY_SECONDS, False, False, {})
+    site.outage = OutageView(HOST, STORE_TIMEOUT_SECONDS, False, False, {})
     site.lose(1, 1)
     site.lose(2, 1)
     site.now += REASSIGN_SECONDS
--- a/marigoldswitch/tests/test_paths.py
+++ b/marigoldswitch/tests/test_paths.py
@@ -9,10 +9,10 @@
 from marigoldswitch.core.paths import (
     FILL_LIMITS,
     choose_jitter,
+    covers_model,
     find_chain,
-    find_near_chain,
-    has_chain,
-    mend_chain,
+    find_single_centre_chain,
+    repair_chain,
 )
 from marigoldswitch.core.stages import MAX_FILL, Stage, StageOffer
 
@@ -59,7 +59,7 @@
     chain = find_chain(offers, SPAN, random.Random(seed))
     free = [item.layers for item in offers if item.has_room()]
     if chain is None:
-        assert not has_chain(free, LAYERS)
+        assert not covers_model(free, LAYERS)
         return
     assert list_layers(chain.stages) == list(range(LAYERS))
     by_name = {item.target: item for item in offers}
@@ -72,7 +72,9 @@
 
 @given(OFFERS, st.integers(0, 1000))
 def test_single_centre_chain_stays_in_one_data_centre(offers, seed):
-    chain = find_near_chain(offers, LAYERS, DataCentre("a"), random.Random(seed))
+    chain = find_single_centre_chain(
+        offers, LAYERS, DataCentre("a"), random.Random(seed)
+    )
     if chain is not None:
         by_name = {item.target: item.data_centre for item in offers}
         assert len({by_name[item.target] for item in chain.stages}) == 1
@@ -89,7 +91,7 @@
     lost = data.draw(st.sets(st.sampled_from(names), min_size=1))
     centres = {item.target: item.data_centre for item in offers}
     left = [item for item in offers if item.target not in lost]
-    repaired = mend_chain(chain.stages, lost, left, centres, source)
+    repaired = repair_chain(chain.stages, lost, left, centres, source)
     if repaired is None:
         return
     assert list_layers(repaired.stages) == list(range(LAYERS))
@@ -128,14 +130,19 @@
 
 def test_hole_in_one_data_centre_is_covered_by_another():
     offers = [offer("a1", 0, 4, "a"), offer("b1", 4, 8, "b"), offer("a2", 0, 4, "a")]
-    assert find_near_chain(offers, LAYERS, DataCentre("a"), random.Random(1)) is None
+    assert (
+        find_single_centre_chain(offers, LAYERS, DataCentre("a"), random.Random(1))
+        is None
+    )
     assert find_chain(offers, SPAN, random.Random(1)).crossings == 1
 
 
 def test_own_data_centre_is_preferred_at_equal_cost():
     offers = [offer("a1", 0, 8, "a"), offer("b1", 0, 8, "b")]
     for seed in range(20):
-        chain = find_near_chain(offers, LAYERS, DataCentre("b"), random.Random(seed))
+        chain = find_single_centre_chain(
+            offers, LAYERS, DataCentre("b"), random.Random(seed)
+        )
         assert chain.stages[0].target == "b1"
 
 
@@ -147,7 +154,7 @@
     ]
     centres = {item.target: DataCentre("a") for item in stages}
     wide = offer("wide", 2, 8)
-    chain = mend_chain(stages, {"e1", "e2"}, [wide], centres, random.Random(1))
+    chain = repair_chain(stages, {"e1", "e2"}, [wide], centres, random.Random(1))
     assert [(item.target, item.layers) for item in chain.stages] == [
         ("e0", LayerRange(0, 2)),
         ("wide", LayerRange(2, 8)),
@@ -158,13 +165,15 @@
     stages = [Stage(TargetId("e0"), "e0:80", LayerRange(0, 8))]
     whole = offer("whole", 0, 8)
     centres = {TargetId("e0"): DataCentre("a")}
-    assert mend_chain(stages, {"e0"}, [whole], centres, random.Random(1)) is None
+    assert repair_chain(stages, {"e0"}, [whole], centres, random.Random(1)) is None
 
 
 def test_own_data_centre_is_preferred_until_nearly_full():
     def choose(used):
         offers = [offer("h", 0, LAYERS, "a", used=used), offer("f", 0, LAYERS, "b")]
-        chain = find_near_chain(offers, LAYERS, DataCentre("a"), random.Random(1))
+        chain = find_single_centre_chain(
+            offers, LAYERS, DataCentre("a"), random.Random(1)
+        )
         return chain.stages[0].target
 
     assert choose(FILL_LIMITS[1] - 0.11) == "h"
@@ -173,7 +182,7 @@
 
 def test_nearly_full_engine_is_the_last_resort():
     offers = [offer("h", 0, LAYERS, "a", used=MAX_FILL - 0.1)]
-    assert find_near_chain(offers, LAYERS, DataCentre("a"), random.Random(1))
+    assert find_single_centre_chain(offers, LAYERS, DataCentre("a"), random.Random(1))
 
 
 def measure_fullest_share(hosts, jitter):
--- a/marigoldswitch/tests/test_planner.py
+++ b/marigoldswitch/tests/test_planner.py
@@ -17,7 +17,7 @@
 from marigoldswitch.core.loads import Loads
 from marigoldswitch.core.models import Accelerator, ModelSpec
 from marigoldswitch.core.registry import TargetRow
-from marigoldswitch.core.stages import choose_layers
+from marigoldswitch.core.stages import choose_offered_layers
 from marigoldswitch.core.suspects import Finding
 from marigoldswitch.gateway.directory import Directory
 from marigoldswitch.gateway.planner import ChainPlanner
@@ -35,8 +35,8 @@
     token_layer_mb=0.01,
     step_seconds=0.001,
     sequence_seconds=0.00001,
-    context_seconds=0.00000001,
-    read_seconds=0.00001,
+    context_seconds_per_token=0.00000001,
+    prefill_seconds_per_token=0.00001,
     accelerators={
         "quick": Accelerator("quick", 13_000.0, 1.0, 1.0),
         "slow": Accelerator("slow", 13_000.0, 6.0, 6.0),
@@ -114,14 +114,14 @@
 
 
 def test_engine_without_a_slot_still_runs_later_layers():
-    assert choose_layers(LayerRange(0, 4), SLOTS, SLOTS) == LayerRange(1, 4)
-    assert choose_layers(LayerRange(4, 8), SLOTS, SLOTS) == LayerRange(4, 8)
-    assert choose_layers(LayerRange(0, 1), SLOTS, SLOTS) is None
-    assert choose_layers(LayerRange(0, 4), 10, SLOTS) == LayerRange(0, 4)
+    assert choose_offered_layers(LayerRange(0, 4), SLOTS, SLOTS) == LayerRange(1, 4)
+    assert choose_offered_layers(LayerRange(4, 8), SLOTS, SLOTS) == LayerRange(4, 8)
+    assert choose_offered_layers(LayerRange(0, 1), SLOTS, SLOTS) is None
+    assert choose_offered_layers(LayerRange(0, 4), 10, SLOTS) == LayerRange(0, 4)
 
 
 def test_engine_without_a_known_slot_count_is_not_limited():
-    assert choose_layers(LayerRange(0, 4), 1_000, 0) == LayerRange(0, 4)
+    assert choose_offered_layers(LayerRange(0, 4), 1_000, 0) == LayerRange(0, 4)
 
 
 def test_failing_engine_is_not_reused_for_the_request_that_it_failed():
--- a/marigoldswitch/tests/test_platform_configuration.py
+++ b/marigoldswitch/tests/test_platform_configuration.py
@@ -41,12 +41,12 @@
         "/look/": RouteKind.IDEMPOTENT,
     }
     assert table.routes[0].timeout == 5.0
-    assert table.routes[0].longest_gap == 0.2
+    assert table.routes[0].max_event_gap == 0.2
     assert table.accounts[KEY].id == "workshop"
     model = table.services["model"].model
     assert model.layers == 8
     assert model.token_layer_mb == pytest.approx(0.1)
-    assert model.crossing_seconds == pytest.approx(1000 * 8 / 18e9)
+    assert model.crossing_seconds_per_token == pytest.approx(1000 * 8 / 18e9)
     assert table.services["desk"].model is None
 
 
--- a/marigoldswitch/tools/capacity_gateway.py
+++ b/marigoldswitch/tools/capacity_gateway.py
@@ -12,10 +12,10 @@
     TargetUsage,
 )
 from marigoldswitch.core.ids import DataCentre, TargetId
-from marigoldswitch.core.layer_cover import EngineSlot
+from marigoldswitch.core.layer_cover import LayoutEngine
 from marigoldswitch.core.layouts import plan_layout
 from marigoldswitch.core.models import Accelerator, ModelSpec
-from marigoldswitch.core.paths import find_near_chain
+from marigoldswitch.core.paths import find_single_centre_chain
 from marigoldswitch.core.stages import StageOffer
 from marigoldswitch.wire import MessageCodec
 
@@ -36,11 +36,11 @@
 CENTRES = ("a", "b", "c")
 
 
-def build_engines(count: int) -> list[EngineSlot]:
+def build_engines(count: int) -> list[LayoutEngine]:
     """Return engines without layers, of all accelerators, in three data centres."""
     kinds = ("small", "small", "small", "middle", "middle", "large")
     return [
-        EngineSlot(
+        LayoutEngine(
             TargetId(f"e{index}"),
             DataCentre(CENTRES[index % len(CENTRES)]),
             kinds[index // len(CENTRES) % len(kinds)],
@@ -61,18 +61,18 @@
     rng = random.Random(1)
     began = time.perf_counter()
     for _ in range(REPETITIONS):
-        find_near_chain(offers, MODEL.layers, DataCentre("a"), rng)
+        find_single_centre_chain(offers, MODEL.layers, DataCentre("a"), rng)
     return (time.perf_counter() - began) / REPETITIONS * MICROSECONDS_PER_SECOND
 
 
-def _build_offer(engine: EngineSlot, layers: LayerRange) -> StageOffer:
+def _build_offer(engine: LayoutEngine, layers: LayerRange) -> StageOffer:
     accelerator = ACCELERATORS[engine.accelerator]
     return StageOffer(
         engine.target,
         f"{engine.target}:80",
         engine.data_centre,
         layers,
-        MODEL.estimate_step(accelerator, 10.0, 9000.0),
+        MODEL.estimate_layer_seconds(accelerator, 10.0, 9000.0),
         0.3,
         0.02,
     )
