--- a/marigoldswitch/core/loads.py
+++ b/marigoldswitch/core/loads.py
@@ -47,7 +47,7 @@
         )
 
 
-NOTHING = Usage()
+NO_USAGE = Usage()
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
 
     def get(self, target: TargetId) -> Usage:
         """Return the usage of a target by the requests of all known hosts."""
-        own = self.own.get(target, NOTHING)
+        own = self.own.get(target, NO_USAGE)
         if self._others_total is None:
             self._others_total = self._sum_others()
         others = self._others_total.get(target)
@@ -92,19 +92,19 @@
 
     def hold(self, target: TargetId, usage: Usage) -> None:
         """Add the usage of a request that this host starts on a target."""
-        self.own[target] = self.own.get(target, NOTHING).plus(usage)
+        self.own[target] = self.own.get(target, NO_USAGE).plus(usage)
         self._unreported_memory[target] = (
             self._unreported_memory.get(target, 0) + usage.memory
         )
 
-    def count_fresh(self, target: TargetId) -> int:
+    def get_unreported_memory(self, target: TargetId) -> int:
         """Return the memory reserved on a target since the last report to the peers.
 
         Each peer has probably reserved about as much that it has not reported yet.
         """
         return self._unreported_memory.get(target, 0)
 
-    def note_told(self) -> None:
+    def mark_reported(self) -> None:
         """Record that the current usage was reported to the peers."""
         self._unreported_memory.clear()
         self._last_reported = dict(self.own)
@@ -121,7 +121,7 @@
         else:
             del self.own[target]
 
-    def hear(
+    def set_peer_usage(
         self,
         peer: HostId,
         centre: DataCentre,
@@ -135,7 +135,7 @@
         self._peer_reports[peer] = _UsageReport(now, centre, usages)
         self._others_total = None
 
-    def hear_sum(
+    def set_centre_usage(
         self, centre: DataCentre, usages: Mapping[TargetId, Usage], now: float
     ) -> None:
         """Replace the total usage of a data centre, as reported by its relay.
@@ -145,7 +145,7 @@
         self._centre_reports[centre] = _UsageReport(now, centre, usages)
         self._others_total = None
 
-    def sum_home(self) -> dict[TargetId, Usage]:
+    def sum_home_usage(self) -> dict[TargetId, Usage]:
         """Return the total usage of this data centre, from its hosts' own reports."""
         total = dict(self.own)
         for report in self._peer_reports.values():
@@ -153,7 +153,7 @@
                 _add(total, report.usages)
         return total
 
-    def show_sums(self) -> dict[DataCentre, Mapping[TargetId, Usage]]:
+    def get_other_centres(self) -> dict[DataCentre, Mapping[TargetId, Usage]]:
         """Return the known usage of each other data centre.
 
         It is the relay's total if there is one, else the sum of its hosts' reports.
@@ -206,7 +206,7 @@
 
 def _add(total: dict[TargetId, Usage], usages: Mapping[TargetId, Usage]) -> None:
     for target, usage in usages.items():
-        total[target] = total.get(target, NOTHING).plus(usage)
+        total[target] = total.get(target, NO_USAGE).plus(usage)
 
 
 def _subtract_own(
@@ -219,7 +219,7 @@
     """
     left: dict[TargetId, Usage] = {}
     for target, usage in usages.items():
-        rest = usage.minus(own.get(target, NOTHING))
+        rest = usage.minus(own.get(target, NO_USAGE))
         left[target] = Usage(
             max(0, rest.requests), max(0, rest.memory), max(0, rest.begun)
         )
--- a/marigoldswitch/core/registry.py
+++ b/marigoldswitch/core/registry.py
@@ -14,7 +14,7 @@
 from marigoldswitch.core.ids import ServiceName, TargetId
 from marigoldswitch.core.revisions import get_era
 
-RETURN_SECONDS = 1.3
+GRACE_SECONDS = 1.3
 """Grace period for an entry that lapsed during an outage. Targets rewrite their entries
 within 2 s of the store's return; the period starts at the first read that misses the
 entry. It stays below 2 s, the time for which a leaving target may still get work."""
@@ -63,11 +63,11 @@
     """Event: the store was restored from an older copy.
 
     :param revision: newest revision of the store when the restore was detected.
-    :param before: newest revision known until then.
+    :param previous_revision: newest revision known until then.
     """
 
     revision: int
-    before: int
+    previous_revision: int
 
 
 MAX_DROPPED = 1000
@@ -106,7 +106,7 @@
         """Call ``listener`` after each change of a target."""
         self._listeners.append(listener)
 
-    def watch_eras(self, listener: Callable[[StoreRestored], None]) -> None:
+    def watch_restores(self, listener: Callable[[StoreRestored], None]) -> None:
         """Call ``listener`` each time the store was restored from an older copy."""
         self._restore_listeners.append(listener)
 
@@ -152,11 +152,11 @@
         rows: Iterable[TargetRow],
         revision: int,
         now: float,
-        settled: bool = False,
+        is_authoritative: bool = False,
     ) -> None:
         """Replace all rows by a complete list; rows missing from it count as removed.
 
-        :param settled: whether the list comes from a host with a working feed, so that
+        :param is_authoritative: whether the list comes from a host with a working feed, so that
             missing targets are dropped without a grace period.
         """
         if get_era(revision) > get_era(self.revision) and self.revision:
@@ -166,7 +166,7 @@
             names.add(row.target.id)
             self.put(row, now)
         for name in [name for name in self._rows if name not in names]:
-            if settled:
+            if is_authoritative:
                 self._lapsed.pop(name, None)
                 self._drop(name)
             else:
@@ -263,9 +263,7 @@
         """Mark a target's row as missing and start its grace period."""
         if name in self._rows:
             is_after_restore = now - self._restored_at < RECENT_OUTAGE_SECONDS
-            grace_seconds = (
-                RESTORE_GRACE_SECONDS if is_after_restore else RETURN_SECONDS
-            )
+            grace_seconds = RESTORE_GRACE_SECONDS if is_after_restore else GRACE_SECONDS
             self._lapsed[name] = now + grace_seconds
 
     def expire(self, now: float) -> None:
--- a/marigoldswitch/core/relays.py
+++ b/marigoldswitch/core/relays.py
@@ -19,7 +19,7 @@
 
 from marigoldswitch.core.ids import HostId
 
-MESH_HOSTS = 6
+MAX_MESH_HOSTS = 6
 """Largest number of hosts in a data centre that all report to each other. In one this
 small, a relay would save less than the message that it adds."""
 RELAY_COUNT = 3
@@ -35,7 +35,7 @@
 """Hosts of a data centre that read the store themselves. Its calls are paid for and
 limited; the other hosts get changes from these, one digest and one message later. One
 reader may be lost and another refused by the store at the same time."""
-READER_SECONDS = 1.5
+READER_TIMEOUT_SECONDS = 1.5
 """Time after which a silent host no longer counts as a reader: several digests long,
 and half of the time in which a new configuration must be in force."""
 TAKEOVER_DELAY_SECONDS = 0.06
@@ -87,7 +87,7 @@
     return own in choose_relays(own, ages) and own == min([own, *heard])
 
 
-def choose_patience(own: HostRank, hosts: Iterable[HostRank]) -> float:
+def choose_backoff_factor(own: HostRank, hosts: Iterable[HostRank]) -> float:
     """Return the factor by which a host lengthens its pauses between retries.
 
     Refused calls to the store are paid for too. While it refuses all hosts, the first
@@ -103,7 +103,7 @@
 
 
 @dataclass(slots=True)
-class ReaderTurn:
+class ReaderSelection:
     """Decides whether this host must read the store itself.
 
     :ivar shortage_since: monotonic time, in seconds, since when too few readers that
--- a/marigoldswitch/gateway/directory.py
+++ b/marigoldswitch/gateway/directory.py
@@ -30,7 +30,7 @@
         self.has_targets = False
         self._listeners: list[Callable[[RoutingTable], None]] = []
         self.registry.watch(self._note_change)
-        self.registry.watch_eras(self._note_restored)
+        self.registry.watch_restores(self._note_restored)
         self.registry.knows_service = self._knows_service
 
     @property
@@ -81,8 +81,8 @@
             "store_restored",
             era=get_era(restored.revision),
             version=get_version(restored.revision),
-            era_before=get_era(restored.before),
-            version_before=get_version(restored.before),
+            era_before=get_era(restored.previous_revision),
+            version_before=get_version(restored.previous_revision),
             targets=len(self.registry.rows),
         )
 
--- a/marigoldswitch/gateway/hosts.py
+++ b/marigoldswitch/gateway/hosts.py
@@ -99,7 +99,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         directory = parts.runs.directory
         directory.registry.watch(self._handle_target_change)
-        directory.registry.watch_eras(self._handle_store_restored)
+        directory.registry.watch_restores(self._handle_store_restored)
         directory.suspects.add_dead_listener(parts.front.alarm_streams)
         directory.watch(self._apply_limits)
 
--- a/marigoldswitch/gateway/news.py
+++ b/marigoldswitch/gateway/news.py
@@ -239,7 +239,7 @@
             for name in message.names
             if name in changed or name in registry.rows
         ]
-        registry.replace_all(rows, message.revision, now, settled=True)
+        registry.replace_all(rows, message.revision, now, is_authoritative=True)
         for name in message.lapsed:
             # Dropping it later raises no revision, so no peer would report that.
             registry.lapse(name, now)
--- a/marigoldswitch/gateway/orderer.py
+++ b/marigoldswitch/gateway/orderer.py
@@ -37,7 +37,7 @@
 
 logger = structlog.get_logger(__name__)
 
-LEASE_TERMS = LeaseTerms(seconds=2.4, margin=0.4)
+LEASE_TERMS = LeaseTerms(duration=2.4, margin=0.4)
 """Renewed every 0.6 s, so that it survives three lost renewals. A longer lease leaves
 layers uncovered for longer after its holder is lost. The margin is longer than a status
 read and an order take."""
@@ -192,12 +192,12 @@
             waits = waits or not self._spread.roster.must_read()
             if waits or not await self._read_lease():
                 return
-        claim = self.lease.plan_claim(self._clock.monotonic())
+        claim = self.lease.plan_write(self._clock.monotonic())
         if claim is None:
             return
         began = self._clock.monotonic()
         written = await self._table.write(
-            LEASE_TABLE, self._region, encode_lease(claim.row), claim.expect
+            LEASE_TABLE, self._region, encode_lease(claim.row), claim.expected_version
         )
         match written:
             case Ok(version):
@@ -218,12 +218,16 @@
         held = self.lease.holds
         read = await self._table.read(LEASE_TABLE, self._region)
         if isinstance(read, Err):
-            if held and self.lease.age(self._clock.monotonic()) > LEASE_GIVE_UP_SECONDS:
+            if (
+                held
+                and self.lease.get_renewal_age(self._clock.monotonic())
+                > LEASE_GIVE_UP_SECONDS
+            ):
                 logger.warning("lease_given_up", why=read.err_value.value)
                 self.lease.give_up()
             return False
         try:
-            self.lease.see(read.ok_value, self._clock.monotonic())
+            self.lease.observe(read.ok_value, self._clock.monotonic())
         except ValueError:
             logger.error("lease_unreadable", table=LEASE_TABLE, key=self._region)
             self.lease.give_up()
--- a/marigoldswitch/gateway/planner.py
+++ b/marigoldswitch/gateway/planner.py
@@ -268,7 +268,7 @@
             seconds * self.slowness.get(target.id, 1.0),
             usage.memory / capacity,
             tokens / capacity,
-            self._loads.count_fresh(target.id) * peers / capacity,
+            self._loads.get_unreported_memory(target.id) * peers / capacity,
         )
 
 
--- a/marigoldswitch/gateway/roster.py
+++ b/marigoldswitch/gateway/roster.py
@@ -13,11 +13,11 @@
 from marigoldswitch.core.ids import DataCentre, HostId
 from marigoldswitch.core.ports import Clock
 from marigoldswitch.core.relays import (
-    MESH_HOSTS,
-    READER_SECONDS,
+    MAX_MESH_HOSTS,
+    READER_TIMEOUT_SECONDS,
     HostRank,
-    ReaderTurn,
-    choose_patience,
+    ReaderSelection,
+    choose_backoff_factor,
     choose_relays,
     is_lead,
 )
@@ -95,7 +95,7 @@
         self._own_rank = HostRank(-strength, own)
         self._home = home
         self._source = source
-        self._reader_turn = ReaderTurn()
+        self._reader_turn = ReaderSelection()
         self._started_at = clock.monotonic()
         self.is_listed = False
         self._summaries: dict[DataCentre, tuple[float, LoadSummary]] = {}
@@ -231,7 +231,7 @@
     @property
     def is_mesh(self) -> bool:
         """Tell whether the hosts of this data centre form a full mesh."""
-        return len(self.list_ages()) < MESH_HOSTS
+        return len(self.list_ages()) < MAX_MESH_HOSTS
 
     @property
     def relays(self) -> list[HostId]:
@@ -267,7 +267,7 @@
 
         It is 1 for the first hosts of the data centre.
         """
-        return choose_patience(self._own_rank, self._rank_ages())
+        return choose_backoff_factor(self._own_rank, self._rank_ages())
 
     def matches_reader(self, revision: int) -> bool:
         """Tell whether a live reader of the store knows no more than this host.
@@ -278,7 +278,7 @@
         return any(
             item.is_reader
             and item.revision <= revision
-            and now - item.heard_at < READER_SECONDS
+            and now - item.heard_at < READER_TIMEOUT_SECONDS
             for item in self.peers.values()
         )
 
@@ -292,7 +292,7 @@
         return tuple(
             sorted(
                 host
-                for host in self.list_local(READER_SECONDS)
+                for host in self.list_local(READER_TIMEOUT_SECONDS)
                 if self.peers[host].is_reader
             )
         )
@@ -339,7 +339,7 @@
         heard = [
             host for host in hosts if now - self.peers[host].heard_at < SILENT_SECONDS
         ]
-        if len(hosts) < MESH_HOSTS:
+        if len(hosts) < MAX_MESH_HOSTS:
             return self._source.sample(heard, min(REMOTE_PEERS, len(heard)))
         if heard:
             return [min(heard, key=self._rank)]
@@ -349,4 +349,6 @@
 
 def _is_reading(peer: PeerState, now: float) -> bool:
     """Tell whether a host was recently reported to read the store."""
-    return peer.reading_at is not None and now - peer.reading_at < READER_SECONDS
+    return (
+        peer.reading_at is not None and now - peer.reading_at < READER_TIMEOUT_SECONDS
+    )
--- a/marigoldswitch/gateway/spread.py
+++ b/marigoldswitch/gateway/spread.py
@@ -171,7 +171,7 @@
         """Send a digest in this data centre; only hosts that sum loads get usages."""
         now = self._parts.clock.monotonic()
         self._sent.digest, self._sent.digest_at = digest, now
-        self._parts.loads.note_told()
+        self._parts.loads.mark_reported()
         hosts = self.roster.choose_local_recipients(to_all)
         summing = hosts
         if not self.roster.is_mesh:
@@ -190,7 +190,7 @@
         hosts = self.roster.choose_remote_recipients()
         messages: list[LoadDigest | LoadSummary] = [digest]
         if hosts and not self.roster.is_mesh:
-            sums = {self._home: self._parts.loads.sum_home()}
+            sums = {self._home: self._parts.loads.sum_home_usage()}
             stripped = replace(digest, usages=(), readers=())
             messages = [stripped, self._build_summary(sums)]
         for host in hosts:
@@ -203,9 +203,9 @@
             return
         loads = self._parts.loads
         sums: dict[DataCentre, Mapping[TargetId, Usage]]
-        sums = {self._home: loads.sum_home()}
+        sums = {self._home: loads.sum_home_usage()}
         if self._sent.mark_if_due(now, "far sum", REMOTE_SUMMARY_SECONDS):
-            sums |= loads.show_sums()
+            sums |= loads.get_other_centres()
         summary = self._build_summary(sums)
         if self._sent.mark_if_due(now, "hosts", HOST_LIST_SECONDS):
             hosts = tuple(sorted(self.roster.list_local()))
@@ -264,7 +264,7 @@
 
     def _build_lease_note(self, now: float) -> LeaseNote | None:
         """Return the lease that this host holds, or that it forwards as a relay."""
-        held = self.lease.show_row() if self.lease else None
+        held = self.lease.get_held_row() if self.lease else None
         if held is not None:
             own = HostId(self._parts.identity.host)
             return LeaseNote(encode_lease(held[0]), held[1], own)
@@ -291,7 +291,7 @@
             # A host that has just started needs a peer to fetch state from.
             parts.network.send(sender, self._build_digest())
         usages = _decode_usages(digest.usages)
-        parts.loads.hear(sender, digest.data_centre, usages, now)
+        parts.loads.set_peer_usage(sender, digest.data_centre, usages, now)
         self._probe_reported_dead(digest.dead, now)
         if digest.lease is not None:
             self._update_orderer(digest.lease, digest, now)
@@ -331,7 +331,7 @@
         self.roster.update_from_summary(sender, summary)
         for item in summary.usages:
             usages = _decode_usages(item.usages)
-            self._parts.loads.hear_sum(item.data_centre, usages, now)
+            self._parts.loads.set_centre_usage(item.data_centre, usages, now)
 
     def _forget_orderer(self, now: float) -> None:
         """Record that the orderer has given its lease up."""
@@ -355,7 +355,7 @@
         self._lease_note, self._orderer_heard_at = note, heard
         if self.lease is not None and not self.lease.holds:
             try:
-                self.lease.see(Row(note.value, note.version), now)
+                self.lease.observe(Row(note.value, note.version), now)
             except ValueError as error:
                 logger.warning("lease_note_unreadable", why=str(error))
         parts.planner.slowness.clear()
--- a/marigoldswitch/tests/test_claim_protocol.py
+++ b/marigoldswitch/tests/test_claim_protocol.py
@@ -59,9 +59,9 @@
 
     def write(self, put: Put):
         row = self.rows.get(put.key)
-        if (row.version if row else 0) != put.expect:
+        if (row.version if row else 0) != put.expected_version:
             return StoreFault.CONFLICT
-        self.rows[put.key] = Row(put.value, put.expect + 1)
+        self.rows[put.key] = Row(put.value, put.expected_version + 1)
         return None
 
 
--- a/marigoldswitch/tests/test_news.py
+++ b/marigoldswitch/tests/test_news.py
@@ -14,7 +14,7 @@
     LoadDigest,
 )
 from marigoldswitch.core.ids import DataCentre, HostId, TargetId
-from marigoldswitch.core.registry import RETURN_SECONDS, TargetRow
+from marigoldswitch.core.registry import GRACE_SECONDS, TargetRow
 from marigoldswitch.gateway.directory import Directory
 from marigoldswitch.gateway.news import StateSync
 
@@ -72,7 +72,7 @@
     requester._handle_targets(READER, sent[-1][1])
     heard = requester._parts.directory.registry
     assert set(heard.targets) == {"a", "b"}
-    clock.now = 0.1 + RETURN_SECONDS
+    clock.now = 0.1 + GRACE_SECONDS
     heard.expire(clock.now)
     assert set(heard.targets) == {"a"}
 
--- a/marigoldswitch/tests/test_old_loads.py
+++ b/marigoldswitch/tests/test_old_loads.py
@@ -9,7 +9,7 @@
 from marigoldswitch.core.ids import DataCentre, TargetId
 from marigoldswitch.core.layer_cover import LayoutEngine
 from marigoldswitch.core.layouts import plan_layout
-from marigoldswitch.core.loads import NOTHING, Usage
+from marigoldswitch.core.loads import NO_USAGE, Usage
 from marigoldswitch.core.models import Accelerator, ModelSpec
 from marigoldswitch.core.paths import choose_jitter, find_single_centre_chain
 from marigoldswitch.core.stages import StageOffer
@@ -100,7 +100,7 @@
             item.target: tokens * count_layers(item.layers) for item in chain.stages
         }
         for name, memory in taken.items():
-            known = self.unpublished.get((host, name), NOTHING)
+            known = self.unpublished.get((host, name), NO_USAGE)
             self.unpublished[host, name] = known.plus(Usage(1, memory))
         if any(self.usage[name] + taken[name] > self.capacity[name] for name in taken):
             self.counts["overfilled"] += 1
@@ -127,7 +127,7 @@
         return MODEL.estimate_layer_seconds(kind, self.requests[name], context)
 
     def offer(self, name, host, tokens):
-        known = self.published[name].plus(self.unpublished.get((host, name), NOTHING))
+        known = self.published[name].plus(self.unpublished.get((host, name), NO_USAGE))
         kind = KINDS[self.engines[name].accelerator]
         capacity = self.capacity[name]
         return StageOffer(
--- a/marigoldswitch/tests/test_orderer.py
+++ b/marigoldswitch/tests/test_orderer.py
@@ -184,7 +184,7 @@
     asyncio.run(site.orderer.tick())
     assert {address[:5] for address in site.engines.orders} == {"10.1."}
     site.outage = OutageView(HOST, 0.0, True, True, {})
-    site.orderer.lease.see = lambda row, now: None
+    site.orderer.lease.observe = lambda row, now: None
     site.orderer._lease_read_at = site.now
     site.orderer._spread.hears_orderer = True
     site.engines.orders.clear()
--- a/marigoldswitch/tests/test_placement.py
+++ b/marigoldswitch/tests/test_placement.py
@@ -20,9 +20,9 @@
 from marigoldswitch.core.chains import count_chains
 from marigoldswitch.core.ids import Region
 from marigoldswitch.core.leases import (
-    Claim,
     Lease,
     LeaseTerms,
+    LeaseWrite,
     decode_lease,
     encode_lease,
 )
@@ -151,23 +151,23 @@
 
 def test_lease_is_taken_over_only_after_it_was_not_renewed():
     one, two = Lease("h1", "a", TERMS), Lease("h2", "b", TERMS)
-    one.see(None, 0.0)
-    first = one.plan_claim(0.0)
+    one.observe(None, 0.0)
+    first = one.plan_write(0.0)
     assert first.row.fencing == 1
     one.note_written(first, 0.0, 0.1)
     row = Row(encode_lease(first.row), 1)
-    two.see(row, 5.0)
-    assert two.plan_claim(14.9) is None
+    two.observe(row, 5.0)
+    assert two.plan_write(14.9) is None
     assert not one.may_order(2.9)
     assert one.may_order(3.2)
     assert not one.may_order(7.0), "a margin before its end it stops"
-    second = two.plan_claim(15.0)
-    assert second == Claim(second.row, 1)
+    second = two.plan_write(15.0)
+    assert second == LeaseWrite(second.row, 1)
     assert second.row.fencing == 2
     two.note_written(second, 15.0, 15.1)
     assert not two.may_order(18.0)
     assert two.may_order(18.1)
-    one.see(Row(encode_lease(second.row), 2), 16.0)
+    one.observe(Row(encode_lease(second.row), 2), 16.0)
     assert not one.holds
 
 
--- a/marigoldswitch/tests/test_planner.py
+++ b/marigoldswitch/tests/test_planner.py
@@ -84,10 +84,12 @@
     def tell(self):
         """Exchange the loads of all hosts."""
         for number, loads in enumerate(self.loads):
-            loads.note_told()
+            loads.mark_reported()
             for other in self.loads:
                 if other is not loads:
-                    other.hear(HostId(str(number)), HOME, dict(loads.own), 0.0)
+                    other.set_peer_usage(
+                        HostId(str(number)), HOME, dict(loads.own), 0.0
+                    )
 
     def choose(self, number):
         """Choose a chain at one host and count its load there."""
--- a/marigoldswitch/tests/test_registry.py
+++ b/marigoldswitch/tests/test_registry.py
@@ -6,7 +6,7 @@
 from marigoldswitch.core.ids import DataCentre, ServiceName, TargetId
 from marigoldswitch.core.registry import (
     ENDING_SECONDS,
-    RETURN_SECONDS,
+    GRACE_SECONDS,
     Change,
     TargetRegistry,
     TargetRow,
@@ -85,7 +85,7 @@
     registry.put(build_row(), 0.0)
     registry.note_outage(10.0)
     registry.remove(NAME, 10.5)
-    registry.expire(10.5 + RETURN_SECONDS)
+    registry.expire(10.5 + GRACE_SECONDS)
     assert not registry.rows
 
 
@@ -93,7 +93,7 @@
     registry = TargetRegistry()
     registry.put(build_row(), 0.0)
     registry.note_outage(10.0)
-    registry.replace_all([], 7, 10.1, settled=True)
+    registry.replace_all([], 7, 10.1, is_authoritative=True)
     assert not registry.rows
 
 
@@ -144,7 +144,7 @@
     registry.put(build_row(revision=5, born=2000), 1.0)
     assert seen == [(Change.GONE, NAME), (Change.ADDED, NAME)]
     assert registry.targets[NAME].layers is None
-    registry.expire(0.5 + RETURN_SECONDS)
+    registry.expire(0.5 + GRACE_SECONDS)
     assert NAME in registry.targets
 
 
--- a/marigoldswitch/tests/test_relays.py
+++ b/marigoldswitch/tests/test_relays.py
@@ -11,8 +11,8 @@
     RELAY_COUNT,
     RELAY_TIMEOUT_SECONDS,
     HostRank,
-    ReaderTurn,
-    choose_patience,
+    ReaderSelection,
+    choose_backoff_factor,
     choose_relays,
     is_lead,
     measure_strength,
@@ -58,7 +58,7 @@
 
 def test_first_hosts_by_rank_read_the_store():
     reading = set(HOSTS[:READER_COUNT])
-    selections = {own: ReaderTurn() for own in HOSTS}
+    selections = {own: ReaderSelection() for own in HOSTS}
     for own, selection in selections.items():
         others = reading - {own}
         assert selection.must_read(own, list_ages(own), others, 0.0) == (own in reading)
@@ -67,7 +67,7 @@
 def simulate_loss_of_readers(lost, hear_seconds=0.3, step=0.02):
     """Return the readers 4 s after some hosts are lost, and the most at any time."""
     alive = [host for host in HOSTS if host not in lost]
-    selections = {own: ReaderTurn() for own in alive}
+    selections = {own: ReaderSelection() for own in alive}
     began: dict[HostId, float] = {}
     most = 0
     now = 0.0
@@ -94,14 +94,14 @@
 
 
 def test_retries_of_many_hosts_cost_no_more_than_those_of_six():
-    rates = [1.0 / choose_patience(own, list_ages(own)) for own in HOSTS]
+    rates = [1.0 / choose_backoff_factor(own, list_ages(own)) for own in HOSTS]
     assert rates[:READER_COUNT] == [1.0] * READER_COUNT
     assert READER_COUNT <= sum(rates) <= 2 * READER_COUNT + 0.01
 
 
 def test_few_hosts_all_retry_at_the_same_rate():
     own = HOSTS[2]
-    assert choose_patience(own, HOSTS[:2]) == 1.0
+    assert choose_backoff_factor(own, HOSTS[:2]) == 1.0
 
 
 MEGABIT = 125_000.0
--- a/marigoldswitch/tests/test_restored_lease.py
+++ b/marigoldswitch/tests/test_restored_lease.py
@@ -19,15 +19,15 @@
 def test_lease_missing_from_the_copy_is_not_taken_while_its_holder_may_act():
     holder = Lease(HostId("h0"), "1", TERMS)
     candidate = Lease(HostId("h1"), "2", TERMS)
-    holder.see(None, 0.0)
-    claim = holder.plan_claim(0.0)
+    holder.observe(None, 0.0)
+    claim = holder.plan_write(0.0)
     holder.note_written(claim, 0.0, 0.0, make_revision(1, 5))
-    candidate.see(Row(encode_lease(claim.row), make_revision(1, 5)), 0.5)
-    candidate.see(None, 1.0)
-    assert candidate.plan_claim(1.0) is None
-    assert candidate.plan_claim(1.0 + 2.3) is None
+    candidate.observe(Row(encode_lease(claim.row), make_revision(1, 5)), 0.5)
+    candidate.observe(None, 1.0)
+    assert candidate.plan_write(1.0) is None
+    assert candidate.plan_write(1.0 + 2.3) is None
     assert not holder.may_order(1.0 + 2.4)
-    assert candidate.plan_claim(1.0 + 2.4) is not None
+    assert candidate.plan_write(1.0 + 2.4) is not None
 
 
 class RestoredTable:
--- a/marigoldswitch/tests/test_spread.py
+++ b/marigoldswitch/tests/test_spread.py
@@ -148,5 +148,5 @@
 
 def test_host_that_orders_the_engines_probes_all_dead_ones():
     orderer = SimulatedHost(HOSTS[9])
-    orderer.spread.lease = SimpleNamespace(holds=True, show_row=lambda: None)
+    orderer.spread.lease = SimpleNamespace(holds=True, get_held_row=lambda: None)
     assert list_probed_engines(orderer) == {"engine-north", "engine-south"}
