--- a/marigoldswitch/gateway/followers.py
+++ b/marigoldswitch/gateway/followers.py
@@ -112,7 +112,7 @@
     """Puts each new configuration of the store in force.
 
     :param reading: set while this host must read the store itself.
-    :ivar get_patience: returns the factor by which this host waits longer in an outage.
+    :ivar get_backoff_factor: returns the factor by which this host waits longer in an outage.
     :ivar waits: how long its reads wait.
     """
 
@@ -127,7 +127,7 @@
         self.dependency = Dependency("configuration feed")
         self.waits = waits
         self._reading = reading
-        self.get_patience: Callable[[], float] = lambda: 1.0
+        self.get_backoff_factor: Callable[[], float] = lambda: 1.0
         self._feeds = feeds
         self._directory = directory
         self._source = source
@@ -158,7 +158,7 @@
                 self._revision = 0
             case Err(fault):
                 self.dependency.note_failure(fault.value)
-                backoff_factor = self.get_patience()
+                backoff_factor = self.get_backoff_factor()
                 await asyncio.sleep(
                     self.dependency.choose_pause(self._source, backoff_factor)
                 )
@@ -168,7 +168,7 @@
     """Keeps the registry of targets up to date with the store.
 
     :param reading: set while this host must read the store itself.
-    :ivar get_patience: returns the factor by which this host waits longer in an outage.
+    :ivar get_backoff_factor: returns the factor by which this host waits longer in an outage.
     :ivar waits: how long its reads wait.
     """
 
@@ -184,7 +184,7 @@
         self.dependency = Dependency("targets feed")
         self.waits = waits
         self._reading = reading
-        self.get_patience: Callable[[], float] = lambda: 1.0
+        self.get_backoff_factor: Callable[[], float] = lambda: 1.0
         self._answered_at = clock.monotonic()
         self._feeds = feeds
         self._directory = directory
@@ -226,7 +226,7 @@
 
     def _choose_pause(self) -> float:
         if self.dependency.is_lost:
-            return self.dependency.choose_pause(self._source, self.get_patience())
+            return self.dependency.choose_pause(self._source, self.get_backoff_factor())
         return self.waits.pause if self._revision else 0.0
 
 
--- a/marigoldswitch/gateway/hosts.py
+++ b/marigoldswitch/gateway/hosts.py
@@ -22,7 +22,7 @@
 from marigoldswitch.gateway.fronts import Front
 from marigoldswitch.gateway.orderer import LayerOrderer
 from marigoldswitch.gateway.ports import HostDirectory, HostRecord, HostSettings
-from marigoldswitch.gateway.spread import Spread
+from marigoldswitch.gateway.spread import DigestExchange
 from marigoldswitch.metrics import Metrics
 from marigoldswitch.peers import PeerNetwork
 
@@ -73,7 +73,7 @@
     front: Front
     metrics: Metrics
     network: PeerNetwork
-    spread: Spread
+    spread: DigestExchange
     configuration: ConfigurationFollower
     targets: TargetFollower
     orderer: LayerOrderer
@@ -118,8 +118,8 @@
         if addresses.metrics:
             await self._listen(addresses.metrics, self._answer_readiness)
         for seed in parts.settings.seeds:
-            parts.spread.meet(HostRecord(seed, ""))
-        parts.spread.greet()
+            parts.spread.add_peer(HostRecord(seed, ""))
+        parts.spread.announce()
         self._spawn(parts.configuration.run())
         self._spawn(parts.targets.run())
         self._spawn(self._run_spread())
@@ -138,7 +138,7 @@
         parts.state.draining = True
         parts.spread.leaving = True
         parts.orderer.retire()
-        parts.spread.greet()
+        parts.spread.announce()
         longest = self.settings.stop_seconds - CLOSE_SECONDS
         try:
             async with asyncio.timeout(longest):
@@ -167,7 +167,7 @@
         waits = choose_waits(new_settings.touch_seconds, new_settings.leaving_seconds)
         self.parts.configuration.waits = self.parts.targets.waits = waits
         for seed in new_settings.seeds:
-            self.parts.spread.meet(HostRecord(seed, ""))
+            self.parts.spread.add_peer(HostRecord(seed, ""))
         logger.info("settings_in_force", changed=self.settings != old)
 
     async def stop(self) -> None:
@@ -243,7 +243,7 @@
             except Exception:
                 logger.exception("spread_failed")
             self._update_store_reading()
-            await asyncio.sleep(self.parts.spread.period)
+            await asyncio.sleep(self.parts.spread.tick_seconds)
 
     def _update_store_reading(self) -> None:
         """Start or stop reading the store, as the hosts' roster requires."""
@@ -265,10 +265,10 @@
                 break
             await asyncio.sleep(REGISTER_RETRY_SECONDS)
         for record in listed.ok_value:
-            parts.spread.meet(record)
-        parts.spread.roster.is_listed = True
+            parts.spread.add_peer(record)
+        parts.spread.roster.has_host_list = True
         self._update_store_reading()
-        parts.spread.greet()
+        parts.spread.announce()
         logger.info("hosts_met", hosts=len(parts.spread.roster.peers))
 
     async def _write_row(self) -> None:
--- a/marigoldswitch/gateway/news.py
+++ b/marigoldswitch/gateway/news.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class SpreadParts:
+class DigestExchangeParts:
     """The collaborators of the digest exchange."""
 
     clock: Clock
@@ -112,7 +112,7 @@
 
     def __init__(
         self,
-        parts: SpreadParts,
+        parts: DigestExchangeParts,
         must_read: Callable[[], bool],
         is_current: Callable[[], bool],
     ) -> None:
--- a/marigoldswitch/gateway/orderer.py
+++ b/marigoldswitch/gateway/orderer.py
@@ -33,7 +33,7 @@
     VersionedTable,
 )
 from marigoldswitch.gateway.probing import EngineProbes
-from marigoldswitch.gateway.spread import Spread
+from marigoldswitch.gateway.spread import DigestExchange
 
 logger = structlog.get_logger(__name__)
 
@@ -96,7 +96,7 @@
         engines: EngineControl,
         directory: Directory,
         probes: EngineProbes,
-        spread: Spread,
+        spread: DigestExchange,
         host: HostId,
         home: DataCentre,
         region: str,
@@ -162,7 +162,7 @@
 
     def _update_deputy_role(self) -> None:
         """Start or stop acting as a deputy, depending on the state of the store."""
-        view = self._spread.look_at_outage()
+        view = self._spread.get_outage_view()
         stands_in = not self.lease.holds and is_deputy(view)
         if stands_in == self._is_deputy:
             return
@@ -396,7 +396,7 @@
         registry = self._directory.registry
         registry.note_layers(name, layers, registry.get_born(name))
         self._spread.recent_layers[name] = (self._clock.monotonic(), layers)
-        self._spread.tell_now()
+        self._spread.send_urgent_digest()
 
 
 def _format(layers: LayerRange | None) -> list[int] | None:
--- a/marigoldswitch/gateway/roster.py
+++ b/marigoldswitch/gateway/roster.py
@@ -78,7 +78,7 @@
     :param home: its data centre.
     :param source: of random choices.
     :param strength: of its link; hosts with the strongest links rank first.
-    :ivar is_listed: the store has listed the other hosts.
+    :ivar has_host_list: the store has listed the other hosts.
     """
 
     def __init__(
@@ -97,13 +97,13 @@
         self._source = source
         self._reader_turn = ReaderSelection()
         self._started_at = clock.monotonic()
-        self.is_listed = False
+        self.has_host_list = False
         self._summaries: dict[DataCentre, tuple[float, LoadSummary]] = {}
         """The last summary from each data centre, and when it was received."""
 
     # Updates.
 
-    def meet(self, record: HostRecord) -> None:
+    def add_peer(self, record: HostRecord) -> None:
         """Add a host that the store or the settings name."""
         host = HostId(record.address)
         now = self._clock.monotonic()
@@ -112,7 +112,7 @@
             rank = HostRank(-record.strength, host)
             self.peers[host] = PeerState(centre, rank, now, now)
 
-    def hear(self, host: HostId, digest: LoadDigest) -> bool:
+    def update_from_digest(self, host: HostId, digest: LoadDigest) -> bool:
         """Store what a digest says of its sender and of readers.
 
         :return: whether the sender is new.
@@ -170,7 +170,7 @@
         """Return the hosts of this data centre that were heard in the last seconds."""
         return self._list_heard(seconds, local=True)
 
-    def count_near(self) -> int:
+    def count_local(self) -> int:
         """Return the number of live hosts of this data centre, this one included."""
         summary = None if self.is_lead else self._get_summary(self._home)
         return summary.near if summary else 1 + len(self.list_local())
@@ -178,7 +178,7 @@
     def count_live(self) -> int:
         """Return the number of live hosts of all data centres, this one included."""
         summary = None if self.is_lead else self._get_summary(self._home)
-        return summary.live if summary else self.count_near() + self._count_remote()
+        return summary.live if summary else self.count_local() + self._count_remote()
 
     def _count_remote(self) -> int:
         """Return the number of live hosts of the other data centres."""
@@ -252,7 +252,7 @@
     def must_read(self) -> bool:
         """Tell whether this host must read the store itself."""
         now = self._clock.monotonic()
-        if not self.is_listed and now - self._started_at < HOST_LIST_WAIT_SECONDS:
+        if not self.has_host_list and now - self._started_at < HOST_LIST_WAIT_SECONDS:
             return False
         readers = [
             self._rank(host)
@@ -262,7 +262,7 @@
         ranks = self._rank_ages()
         return self._reader_turn.must_read(self._own_rank, ranks, readers, now)
 
-    def choose_patience(self) -> float:
+    def choose_backoff_factor(self) -> float:
         """Return the factor by which this host waits longer in an outage of the store.
 
         It is 1 for the first hosts of the data centre.
--- a/marigoldswitch/gateway/spread.py
+++ b/marigoldswitch/gateway/spread.py
@@ -27,7 +27,7 @@
 from marigoldswitch.core.ports import Row
 from marigoldswitch.core.registry import Change
 from marigoldswitch.gateway.crash_news import CrashNoteExchange
-from marigoldswitch.gateway.news import SpreadParts, StateSync
+from marigoldswitch.gateway.news import DigestExchangeParts, StateSync
 from marigoldswitch.gateway.ports import HostRecord
 from marigoldswitch.gateway.roster import SILENT_SECONDS, Roster
 from marigoldswitch.gateway.told import RESEND_SECONDS, TICK_SECONDS, SendLog, is_same
@@ -55,10 +55,10 @@
 """Minimum time from the last digest to one that is sent out of turn."""
 
 
-class Spread:
+class DigestExchange:
     """Exchanges digests with the other hosts."""
 
-    def __init__(self, parts: SpreadParts) -> None:
+    def __init__(self, parts: DigestExchangeParts) -> None:
         self.leaving = False
         self.lease: Lease | None = None
         """The lease of the engines' orderer, as this host sees it."""
@@ -92,7 +92,7 @@
         now = self._parts.clock.monotonic()
         return now - self._orderer_heard_at < ORDERER_TIMEOUT_SECONDS
 
-    def look_at_outage(self) -> OutageView:
+    def get_outage_view(self) -> OutageView:
         """Return this host's view of an outage of the store."""
         roster = self.roster
         lost = self._parts.targets.measure_outage() if roster.must_read() else 0.0
@@ -123,12 +123,12 @@
         return parts.directory.is_complete and self.roster.matches_reader(revision)
 
     @property
-    def period(self) -> float:
+    def tick_seconds(self) -> float:
         """Return the seconds until the next tick."""
         roster = self.roster
         return TICK_SECONDS if roster.is_mesh or roster.is_relay else SUMMARY_SECONDS
 
-    def greet(self) -> None:
+    def announce(self) -> None:
         """Announce this host to its relays, or to all from a relay or in a full mesh.
 
         When all hosts start, announcements to all would open a connection per pair.
@@ -138,7 +138,7 @@
         for host in (*local, *self.roster.choose_remote_recipients()):
             self._parts.network.send(host, digest)
 
-    def tell_now(self) -> None:
+    def send_urgent_digest(self) -> None:
         """Send a digest to the hosts of this data centre out of turn, for a finding."""
         now = self._parts.clock.monotonic()
         if now - self._sent.digest_at >= URGENT_DIGEST_SECONDS:
@@ -221,7 +221,7 @@
             for centre, held in sorted(sums.items())
         )
         roster = self.roster
-        return LoadSummary(usages, roster.count_near(), roster.count_live())
+        return LoadSummary(usages, roster.count_local(), roster.count_live())
 
     def _build_digest(self) -> LoadDigest:
         parts = self._parts
@@ -286,7 +286,7 @@
     def _handle_digest(self, sender: HostId, digest: LoadDigest) -> None:
         parts = self._parts
         now = parts.clock.monotonic()
-        is_new = self.roster.hear(sender, digest)
+        is_new = self.roster.update_from_digest(sender, digest)
         if is_new or digest.version < parts.directory.version:
             # A host that has just started needs a peer to fetch state from.
             parts.network.send(sender, self._build_digest())
@@ -378,11 +378,11 @@
             registry.note_layers(held.target, span, held.born)
             self.recent_layers[held.target] = (at, span)
         if is_new and self.roster.is_lead and not self.roster.is_mesh:
-            self.tell_now()
+            self.send_urgent_digest()
 
-    def meet(self, record: HostRecord) -> None:
+    def add_peer(self, record: HostRecord) -> None:
         """Add a host that the store or the settings name."""
-        self.roster.meet(record)
+        self.roster.add_peer(record)
 
 
 def _encode_usages(held: Mapping[TargetId, Usage]) -> tuple[TargetUsage, ...]:
--- a/marigoldswitch/platform/compose.py
+++ b/marigoldswitch/platform/compose.py
@@ -26,12 +26,12 @@
 from marigoldswitch.gateway.fronts import Front
 from marigoldswitch.gateway.hosts import GatewayHost, GatewayParts
 from marigoldswitch.gateway.metrics import GatewayMetrics
-from marigoldswitch.gateway.news import SpreadParts
+from marigoldswitch.gateway.news import DigestExchangeParts
 from marigoldswitch.gateway.orderer import LayerOrderer
 from marigoldswitch.gateway.planner import ChainPlanner
 from marigoldswitch.gateway.ports import HostSettings
 from marigoldswitch.gateway.probing import EngineProbes
-from marigoldswitch.gateway.spread import Spread
+from marigoldswitch.gateway.spread import DigestExchange
 from marigoldswitch.gateway.upstream import Upstream
 from marigoldswitch.metrics import Metrics
 from marigoldswitch.peers import PeerNetwork
@@ -100,8 +100,8 @@
     waits = choose_waits(settings.touch_seconds, settings.leaving_seconds)
     configuration = ConfigurationFollower(store, directory, source, reading, waits)
     targets = TargetFollower(store, directory, clock, source, reading, waits)
-    spread = Spread(
-        SpreadParts(
+    spread = DigestExchange(
+        DigestExchangeParts(
             clock,
             network,
             directory,
@@ -128,11 +128,11 @@
         identity.region,
     )
     planner.count_hosts = spread.roster.count_live
-    patience = spread.roster.choose_patience
-    configuration.get_patience = targets.get_patience = patience
-    planner.count_near = spread.roster.count_near
+    patience = spread.roster.choose_backoff_factor
+    configuration.get_backoff_factor = targets.get_backoff_factor = patience
+    planner.count_near = spread.roster.count_local
     spread.lease = orderer.lease
-    directory.suspects.add_dead_listener(lambda _: spread.tell_now())
+    directory.suspects.add_dead_listener(lambda _: spread.send_urgent_digest())
     return GatewayHost(
         GatewayParts(
             settings,
--- a/marigoldswitch/tests/test_crash_spread.py
+++ b/marigoldswitch/tests/test_crash_spread.py
@@ -13,7 +13,7 @@
 from marigoldswitch.gateway.crashes import CrashWatch
 from marigoldswitch.gateway.directory import Directory
 from marigoldswitch.gateway.ports import HostRecord
-from marigoldswitch.gateway.spread import Spread
+from marigoldswitch.gateway.spread import DigestExchange
 from marigoldswitch.wire import MessageCodec
 
 CENTRES = ("north", "south", "west")
@@ -70,11 +70,11 @@
             identity=SimpleNamespace(host=own, data_centre=centre, strength=0),
             source=random.Random(str(own)),
         )
-        self.exchanges[own], self.watches[own] = Spread(parts), watch
+        self.exchanges[own], self.watches[own] = DigestExchange(parts), watch
         for other, place in self.names:
-            self.exchanges[own].meet(HostRecord(other, place))
-        self.exchanges[own].roster.is_listed = True
-        self.exchanges[own].greet()
+            self.exchanges[own].add_peer(HostRecord(other, place))
+        self.exchanges[own].roster.has_host_list = True
+        self.exchanges[own].announce()
 
     def _send(self, own, host, message):
         if own in self.partitioned or host in self.partitioned:
--- a/marigoldswitch/tests/test_gateway.py
+++ b/marigoldswitch/tests/test_gateway.py
@@ -373,7 +373,7 @@
             for host in site.hosts:
                 if host.parts.orderer is holder:
                     host.parts.orderer.retire()
-                    host.parts.spread.greet()
+                    host.parts.spread.announce()
             await site.wait(lambda: other.lease.holds)
             assert not holder.lease.holds
 
@@ -459,7 +459,7 @@
             one.runs.loads.hold(target, Usage(1, 900))
             await site.wait(lambda: other.runs.loads.get(target) == Usage(1, 900))
             await site.wait(lambda: one.runs.loads.get(target) == Usage(1, 900))
-            await site.wait(lambda: other.spread.roster.count_near() == 8)
+            await site.wait(lambda: other.spread.roster.count_local() == 8)
             await site.wait(lambda: other.spread.roster.count_live() == 16)
             south = site.hosts[-1].parts.runs.loads
             await site.wait(lambda: south.get(target) == Usage(1, 900))
--- a/marigoldswitch/tests/test_orderer.py
+++ b/marigoldswitch/tests/test_orderer.py
@@ -73,8 +73,8 @@
         self.outage = OutageView(HOST, 0.0, True, True, {})
         spread = SimpleNamespace(
             recent_layers={},
-            tell_now=lambda: None,
-            look_at_outage=lambda: self.outage,
+            send_urgent_digest=lambda: None,
+            get_outage_view=lambda: self.outage,
         )
         self.orderer = LayerOrderer(
             SimpleNamespace(monotonic=lambda: self.now),
--- a/marigoldswitch/tests/test_relays.py
+++ b/marigoldswitch/tests/test_relays.py
@@ -120,8 +120,8 @@
     strength = get_strength(own)
     roster = Roster(clock, own, HOME, random.Random(1), strength)
     for host in HOSTS:
-        roster.meet(HostRecord(host, HOME, get_strength(host)))
-    roster.is_listed = True
+        roster.add_peer(HostRecord(host, HOME, get_strength(host)))
+    roster.has_host_list = True
     return roster
 
 
@@ -142,9 +142,9 @@
     clock = SimpleNamespace(monotonic=lambda: 10.0)
     roster = Roster(clock, HOSTS[0], HOME, random.Random(1), WEAK)
     for host in HOSTS[1:]:
-        roster.meet(HostRecord(host, ""))
+        roster.add_peer(HostRecord(host, ""))
         digest = LoadDigest(HOME, 0, 0, strength=get_strength(host))
-        roster.hear(host, digest)
+        roster.update_from_digest(host, digest)
     assert roster.relays == STRONG_HOSTS
 
 
--- a/marigoldswitch/tests/test_spread.py
+++ b/marigoldswitch/tests/test_spread.py
@@ -10,7 +10,7 @@
 from marigoldswitch.core.loads import Loads, Usage
 from marigoldswitch.core.registry import TargetRow
 from marigoldswitch.gateway.directory import Directory
-from marigoldswitch.gateway.spread import Spread
+from marigoldswitch.gateway.spread import DigestExchange
 
 HOME = DataCentre("north")
 FAR = DataCentre("south")
@@ -51,7 +51,7 @@
             identity=SimpleNamespace(host=own, data_centre=HOME, strength=0),
             source=random.Random(1),
         )
-        self.spread = Spread(parts)
+        self.spread = DigestExchange(parts)
 
     def run_ticks(self, seconds):
         """Tick for some seconds, with digests from the others and a growing load.
