--- a/marigoldswitch/gateway/fronts.py
+++ b/marigoldswitch/gateway/fronts.py
@@ -39,7 +39,7 @@
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-class Front:
+class Frontend:
     """Handles callers' requests; each one ends exactly once.
 
     :ivar streams: running requests that are handled as streams.
@@ -56,7 +56,7 @@
         self._idle.set()
 
     @property
-    def busy(self) -> int:
+    def running_requests(self) -> int:
         """Return the number of running requests."""
         return len(self._busy_connections)
 
@@ -68,7 +68,7 @@
         """Wait until no request is running."""
         await self._idle.wait()
 
-    def alarm_streams(self, target: str) -> None:
+    def recheck_streams(self, target: str) -> None:
         """Make every stream through an engine check its chain at once."""
         for run in self.list_streams(target):
             run.chain_monitor.request_check()
--- a/marigoldswitch/gateway/hosts.py
+++ b/marigoldswitch/gateway/hosts.py
@@ -19,7 +19,7 @@
     TargetFollower,
     choose_waits,
 )
-from marigoldswitch.gateway.fronts import Front
+from marigoldswitch.gateway.fronts import Frontend
 from marigoldswitch.gateway.orderer import LayerOrderer
 from marigoldswitch.gateway.ports import HostDirectory, HostRecord, HostSettings
 from marigoldswitch.gateway.spread import DigestExchange
@@ -70,7 +70,7 @@
     settings: HostSettings
     state: HostState
     runs: RunParts
-    front: Front
+    front: Frontend
     metrics: Metrics
     network: PeerNetwork
     spread: DigestExchange
@@ -100,7 +100,7 @@
         directory = parts.runs.directory
         directory.registry.watch(self._handle_target_change)
         directory.registry.watch_restores(self._handle_store_restored)
-        directory.suspects.add_dead_listener(parts.front.alarm_streams)
+        directory.suspects.add_dead_listener(parts.front.recheck_streams)
         directory.watch(self._apply_limits)
 
     @property
@@ -134,7 +134,7 @@
     async def drain(self) -> None:
         """Prepare a planned stop: let running requests finish within the stop time."""
         parts = self.parts
-        logger.info("host_draining", busy=parts.front.busy)
+        logger.info("host_draining", busy=parts.front.running_requests)
         parts.state.draining = True
         parts.spread.leaving = True
         parts.orderer.retire()
@@ -146,7 +146,7 @@
                 self._close_idle()
                 await parts.front.wait_idle()
         except TimeoutError:
-            logger.warning("drain_cut_short", busy=parts.front.busy)
+            logger.warning("drain_cut_short", busy=parts.front.running_requests)
 
     def use_settings(self, new_settings: HostSettings) -> None:
         """Apply the changed settings that don't need a restart."""
@@ -295,7 +295,7 @@
             self._schedule_chain_checks(target.id)
         if change is Change.ADDED:
             # A restarted engine keeps its id, but its streams are lost.
-            self.parts.front.alarm_streams(target.id)
+            self.parts.front.recheck_streams(target.id)
         if change in (Change.LEAVING, Change.GONE):
             for seconds in REROUTE_DELAYS:
                 loop.call_later(seconds, self._schedule_chain_checks, target.id)
--- a/marigoldswitch/platform/compose.py
+++ b/marigoldswitch/platform/compose.py
@@ -23,7 +23,7 @@
     TargetFollower,
     choose_waits,
 )
-from marigoldswitch.gateway.fronts import Front
+from marigoldswitch.gateway.fronts import Frontend
 from marigoldswitch.gateway.hosts import GatewayHost, GatewayParts
 from marigoldswitch.gateway.metrics import GatewayMetrics
 from marigoldswitch.gateway.news import DigestExchangeParts
@@ -138,7 +138,7 @@
             settings,
             state,
             runs,
-            Front(runs, GatewayMetrics(metrics)),
+            Frontend(runs, GatewayMetrics(metrics)),
             metrics,
             network,
             spread,
--- a/marigoldswitch/tests/gateway_site.py
+++ b/marigoldswitch/tests/gateway_site.py
@@ -22,7 +22,7 @@
 LAYERS = 8
 KEY = "key-of-a-workshop"
 ACCOUNT = "workshop"
-CENTRES = ("north", "south")
+DATA_CENTRES = ("north", "south")
 
 
 def build_configuration(version=1, timeout_ms=5_000, attempts=2, keys=(KEY,)):
@@ -95,15 +95,15 @@
         await self.store.start()
         self.store.put("op", "config", build_configuration())
         for index in range(engines):
-            await self.add_engine(f"e{index}", CENTRES[index % len(CENTRES)])
+            await self.add_engine(f"e{index}", DATA_CENTRES[index % len(DATA_CENTRES)])
         for index in range(desks):
             desk = PlainStandin(f"d{index}")
             await desk.start()
             self.desks.append(desk)
-            self.enter(desk, "desk", CENTRES[index % len(CENTRES)])
+            self.register_target(desk, "desk", DATA_CENTRES[index % len(DATA_CENTRES)])
         for index in range(hosts):
-            await self.add_host(f"h{index}", CENTRES[index % len(CENTRES)])
-        await self.wait(lambda: all(host.is_ready for host in self.hosts))
+            await self.add_host(f"h{index}", DATA_CENTRES[index % len(DATA_CENTRES)])
+        await self.wait_until(lambda: all(host.is_ready for host in self.hosts))
 
     async def add_engine(
         self, name: str, data_centre: str, held: tuple[int, int] | None = None
@@ -115,10 +115,10 @@
         engine = EngineStandin(name, self.engines)
         engine.held = held
         await engine.start()
-        self.enter(engine, "model", data_centre)
+        self.register_target(engine, "model", data_centre)
         return engine
 
-    def enter(
+    def register_target(
         self,
         target: TargetStandin,
         service: str,
@@ -181,7 +181,7 @@
         for reserved in self._reserved:
             reserved.close()
 
-    async def wait(self, condition, seconds: float = 10.0) -> None:
+    async def wait_until(self, condition, seconds: float = 10.0) -> None:
         """Wait until a condition is true, checking it every 10 ms."""
         async with asyncio.timeout(seconds):
             while not condition():
@@ -189,7 +189,7 @@
 
     async def wait_for_layout(self) -> None:
         """Wait until, at every host, all engines that it knows hold layers."""
-        await self.wait(
+        await self.wait_until(
             lambda: all(
                 all(item.layers is not None for item in _list_engines(host))
                 for host in self.hosts
@@ -248,7 +248,7 @@
         await site.stop()
 
 
-def list_ids(body: bytes) -> list[int]:
+def list_event_ids(body: bytes) -> list[int]:
     """Return the ids of the events in the body of a stream."""
     lines = body.decode().splitlines()
     return [int(line[4:]) for line in lines if line.startswith("id: ")]
@@ -258,7 +258,7 @@
 """Ids of the events of a stream without faults."""
 
 
-def run(scenario):
+def run_scenario(scenario):
     """Run a scenario to its end in an event loop of its own."""
     asyncio.run(scenario)
 
--- a/marigoldswitch/tests/test_connections.py
+++ b/marigoldswitch/tests/test_connections.py
@@ -21,8 +21,8 @@
     ALL_EVENTS,
     build_configuration,
     get_targets,
-    list_ids,
-    run,
+    list_event_ids,
+    run_scenario,
     run_site,
 )
 
@@ -129,16 +129,16 @@
     async def scenario():
         async with run_site(hosts=1) as site:
             engine = await site.add_engine("x", "north", (0, 8))
-            await site.wait(lambda: len(get_targets(site)) == 1)
+            await site.wait_until(lambda: len(get_targets(site)) == 1)
             for number in range(4):
                 engine.forgets = number > 0
                 async with site.call("/draft/", number) as answered:
-                    assert list_ids(await answered.read()) == ALL_EVENTS
+                    assert list_event_ids(await answered.read()) == ALL_EVENTS
             suspects = site.hosts[0].parts.runs.directory.suspects
             now = site.hosts[0].parts.runs.clock.monotonic()
             assert not suspects.is_excluded(TargetId("x"), now)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_many_hosts_do_not_fill_a_small_target_with_idle_connections():
@@ -163,7 +163,7 @@
         async with run_site(desks=1, hosts=1) as site:
             site.store.put("op", "config", {**configuration, "version": 2})
             directory = site.hosts[0].parts.runs.directory
-            await site.wait(lambda: directory.version == 2)
+            await site.wait_until(lambda: directory.version == 2)
             async with site.call("/look/", 1, method="GET", data=None) as answer:
                 assert answer.status == 200
             return has_idle_connection(site, site.desks[0].address)
@@ -180,9 +180,9 @@
             await site.add_engine("x", "north", (0, 8))
             site.store.put("op", "config", {**configuration, "version": 2})
             directory = site.hosts[0].parts.runs.directory
-            await site.wait(lambda: directory.version == 2 and get_targets(site))
+            await site.wait_until(lambda: directory.version == 2 and get_targets(site))
             async with site.call("/draft/", 1) as answered:
-                assert list_ids(await answered.read()) == ALL_EVENTS
+                assert list_event_ids(await answered.read()) == ALL_EVENTS
             return has_idle_connection(site, get_targets(site)["x"].address)
 
     assert asyncio.run(scenario(100))
--- a/marigoldswitch/tests/test_crashes.py
+++ b/marigoldswitch/tests/test_crashes.py
@@ -9,8 +9,8 @@
 from marigoldswitch.tests.gateway_site import (
     ALL_EVENTS,
     get_targets,
-    list_ids,
-    run,
+    list_event_ids,
+    run_scenario,
     run_site,
 )
 
@@ -49,9 +49,9 @@
                 await send(site, number, number % 2, CRASHING)
             assert count_ends(site.engines.engines.values()) <= MAX_ENDS
             status, body = await send(site, 9, 0, b"{}")
-            assert (status, list_ids(body)) == (200, ALL_EVENTS)
+            assert (status, list_event_ids(body)) == (200, ALL_EVENTS)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_request_that_crashes_later_engines_of_its_chain_is_stopped():
@@ -61,14 +61,14 @@
             await site.add_engine("first", "north", (0, 4))
             for index in range(8):
                 await site.add_engine(f"x{index}", "north", (4, 8))
-            await site.wait(lambda: len(get_targets(site)) == 9)
+            await site.wait_until(lambda: len(get_targets(site)) == 9)
             for number in range(3):
                 await send(site, number, 0, CRASHING)
             assert 1 <= count_ends(site.engines.engines.values()) <= MAX_ENDS
             status, body = await send(site, 9, 0, b"{}")
-            assert (status, list_ids(body)) == (200, ALL_EVENTS)
+            assert (status, list_event_ids(body)) == (200, ALL_EVENTS)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_request_that_crashes_plain_targets_is_stopped_on_all_hosts():
@@ -76,7 +76,7 @@
         async with run_site(hosts=2, desks=6) as site:
             for desk in site.desks:
                 desk.crashing = {CRASHING}
-            await site.wait(lambda: len(get_targets(site)) == 6)
+            await site.wait_until(lambda: len(get_targets(site)) == 6)
             for number in range(8):
                 status, _ = await send(site, number, number % 2, CRASHING, "/once/1")
                 assert status in (502, 503)
@@ -86,7 +86,7 @@
             assert 1 <= count_ends(site.desks) <= MAX_ENDS
             assert (await send(site, 9, 0, b"{}", "/once/1"))[0] == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_host_that_starts_later_lets_no_held_request_run():
@@ -98,11 +98,11 @@
             ends = count_ends(site.engines.engines.values())
             late = await site.add_host("late", "south")
             watch = late.parts.runs.crashes
-            await site.wait(lambda: late.is_ready and not watch.is_empty)
+            await site.wait_until(lambda: late.is_ready and not watch.is_empty)
             assert (await send(site, 9, 1, CRASHING))[0] == 503
             assert count_ends(site.engines.engines.values()) == ends
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_request_whose_connections_are_reset_by_live_engines_is_not_held():
@@ -112,7 +112,7 @@
                 await site.add_engine(f"x{index}", "north", (0, 8))
                 for index in range(4)
             ]
-            await site.wait(lambda: len(get_targets(site)) == 4)
+            await site.wait_until(lambda: len(get_targets(site)) == 4)
             for engine in engines:
                 engine.resets = True
             for number in range(3):
@@ -122,14 +122,14 @@
             site.hosts[0].parts.runs.directory.suspects._suspicions.clear()
             assert (await send(site, 9, 0, CRASHING))[0] == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_target_that_ends_just_after_it_has_reset_a_connection_is_found_to_have_ended():
     async def scenario():
         async with run_site(hosts=1) as site:
             engine = await site.add_engine("x", "north", (0, 8))
-            await site.wait(lambda: len(get_targets(site)) == 1)
+            await site.wait_until(lambda: len(get_targets(site)) == 1)
             watch = site.hosts[0].parts.runs.crashes
             target = get_targets(site)["x"]
             await watch.note_cut_off(InterruptedRequest("reset", None, False), target)
@@ -138,7 +138,7 @@
             await watch.note_cut_off(InterruptedRequest("bad", None, False), target)
             assert [item.fingerprint for item in watch.list_notes()] == ["bad"]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_request_that_runs_to_its_end_is_no_longer_suspect():
@@ -157,7 +157,7 @@
             notes = site.hosts[0].parts.runs.crashes.list_notes()
             assert [item.ends for item in notes] == [()]
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_no_fingerprint_is_computed_while_no_target_has_ended(monkeypatch):
@@ -172,12 +172,12 @@
     async def scenario():
         async with run_site(hosts=1, desks=1) as site:
             await site.add_engine("x", "north", (0, 8))
-            await site.wait(lambda: len(get_targets(site)) == 2)
+            await site.wait_until(lambda: len(get_targets(site)) == 2)
             for number, path in enumerate(("/draft/1", "/once/1", "/look/1")):
                 assert (await send(site, number, 0, b"{}", path))[0] == 200
             assert not computed
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_retries_of_streams_stay_in_the_budget_when_engine_after_engine_ends():
@@ -186,7 +186,7 @@
             for index in range(6):
                 engine = await site.add_engine(f"x{index}", "north", (0, 8))
                 engine.events = 150
-            await site.wait(lambda: len(get_targets(site)) == 6)
+            await site.wait_until(lambda: len(get_targets(site)) == 6)
             allowance, window, streams = 1.0, 10.0, 12
             site.hosts[0].parts.runs.retries.update_limits(allowance, 0.0)
             tasks = [
@@ -194,7 +194,7 @@
                 for number in range(streams)
             ]
             for ends in range(1, 6):
-                await site.wait(
+                await site.wait_until(
                     lambda: (
                         all(work.done() for work in tasks)
                         or any(_has_streams(item) for item in _list_live_engines(site))
@@ -210,7 +210,7 @@
             )
             assert runs - streams <= allowance * window
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def _list_live_engines(site):
--- a/marigoldswitch/tests/test_deputies.py
+++ b/marigoldswitch/tests/test_deputies.py
@@ -51,13 +51,13 @@
             lost = await site.add_engine("y", "north", (4, 8))
             fresh = await site.add_engine("z", "north", (0, 4))
             orderers = [host.parts.orderer for host in site.hosts]
-            await site.wait(lambda: any(item.lease.holds for item in orderers))
+            await site.wait_until(lambda: any(item.lease.holds for item in orderers))
             await site.store.stop()
             await lost.stop()
             for host in site.hosts:
                 target = host.parts.runs.directory.registry.targets[lost.name]
                 host.parts.runs.probes.check_later(target)
-            await site.wait(
+            await site.wait_until(
                 lambda: any(
                     item.held and item.held[1] == 8
                     for item in site.engines.engines.values()
--- a/marigoldswitch/tests/test_fingerprints.py
+++ b/marigoldswitch/tests/test_fingerprints.py
@@ -8,7 +8,7 @@
 from structlog.testing import capture_logs
 
 from marigoldswitch.core.fingerprints import fingerprint_request
-from marigoldswitch.tests.gateway_site import run, run_site
+from marigoldswitch.tests.gateway_site import run_scenario, run_site
 
 
 def test_equal_requests_have_the_same_fingerprint():
@@ -50,7 +50,7 @@
                 engine = await site.add_engine(name, "north", (0, 8))
                 engine.cut_after = 3
             rows = site.hosts[0].parts.runs.directory.registry.rows
-            await site.wait(lambda: len(rows) == 2)
+            await site.wait_until(lambda: len(rows) == 2)
             async with site.call("/draft/1", 1, data=b"text") as answer:
                 with contextlib.suppress(aiohttp.ClientError):
                     await answer.read()
@@ -62,4 +62,4 @@
             assert lost[0]["had_event"] is True
             assert lost[0]["repeats"] <= lost[0]["repeats_allowed"]
 
-    run(scenario())
+    run_scenario(scenario())
--- a/marigoldswitch/tests/test_gateway.py
+++ b/marigoldswitch/tests/test_gateway.py
@@ -14,8 +14,8 @@
     build_configuration,
     check_layers,
     get_targets,
-    list_ids,
-    run,
+    list_event_ids,
+    run_scenario,
     run_site,
 )
 
@@ -28,7 +28,7 @@
                 async with site.call("/draft/a?b=%20", number, number % 2) as answer:
                     assert answer.status == 200
                     assert answer.headers["Replica-Signature"].startswith("signed-by-")
-                    assert list_ids(await answer.read()) == ALL_EVENTS
+                    assert list_event_ids(await answer.read()) == ALL_EVENTS
             check_layers(site)
             head = site.engines.streams[0]
             first = site.engines.engines[head.path[0][0]]
@@ -39,7 +39,7 @@
             for engine in site.engines.engines.values():
                 assert len(engine.orders) == engine.sequence
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_request_without_a_chain_is_refused_at_once_as_not_run():
@@ -51,7 +51,7 @@
             assert answer.status == 503
             assert float(answer.headers["Retry-After"]) > 0.0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_one_time_request_runs_once_when_its_answer_is_lost():
@@ -63,7 +63,7 @@
                 assert answer.status in (502, 504)
             assert sum(desk.runs["try-1"] for desk in site.desks) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_refused_one_time_request_has_not_run():
@@ -75,7 +75,7 @@
                 assert "Retry-After" in answer.headers
             assert site.desks[0].runs["try-1"] == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_status_that_callers_take_as_not_run_is_not_passed_on():
@@ -86,7 +86,7 @@
                 assert answer.status == 502
                 assert "Replica-Signature" not in answer.headers
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_idempotent_request_is_tried_elsewhere():
@@ -100,7 +100,7 @@
                     assert got.status == 200
                     assert await got.read()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_failure_of_the_target_is_passed_on_as_it_is():
@@ -112,19 +112,21 @@
                 assert answer.headers["Replica-Signature"] == "signed-by-d0"
                 assert await answer.read() == b"d0 ran try-1"
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_final_answer_comes_at_the_timeout_of_the_route():
     async def scenario():
         async with run_site(desks=1) as site:
             site.store.put("op", "config", build_configuration(2, timeout_ms=200))
-            await site.wait(lambda: site.hosts[0].parts.runs.directory.version == 2)
+            await site.wait_until(
+                lambda: site.hosts[0].parts.runs.directory.version == 2
+            )
             site.desks[0].hangs = 1
             async with site.call("/once/", 1) as answer:
                 assert answer.status == 504
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -143,7 +145,7 @@
                 assert answer.status == status
             assert not site.desks[0].runs
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_body_over_the_limit_is_refused():
@@ -153,7 +155,7 @@
                 assert answer.status == 413
             assert not site.desks[0].runs
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_request_does_not_run_at_an_address_taken_by_another_target():
@@ -165,14 +167,14 @@
                     assert got.status == 200
             assert not site.desks[0].runs
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_newer_configuration_is_in_force_and_never_reverts():
     async def scenario():
         async with run_site(desks=1, hosts=2) as site:
             site.store.put("op", "config", build_configuration(5, keys=("fresh",)))
-            await site.wait(
+            await site.wait_until(
                 lambda: all(
                     host.parts.runs.directory.version == 5 for host in site.hosts
                 )
@@ -182,22 +184,24 @@
                 async with site.call("/once/", host, host) as answer:
                     assert answer.status == 401
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_host_cut_off_from_the_store_learns_from_its_peers():
     async def scenario():
         async with run_site(desks=1, hosts=2) as site:
-            await site.wait(lambda: len(site.hosts[0].parts.spread.roster.peers) == 1)
+            await site.wait_until(
+                lambda: len(site.hosts[0].parts.spread.roster.peers) == 1
+            )
             isolated = site.hosts[0].parts
             # Nothing listens on this port: connections are refused at once.
             isolated.configuration._feeds._base = "http://127.0.0.1:9"
             site.store.put("op", "config", build_configuration(6))
-            site.enter(site.desks[0], "desk", "north", phase="draining")
-            await site.wait(lambda: isolated.runs.directory.version == 6)
-            await site.wait(lambda: not isolated.runs.directory.registry.targets)
+            site.register_target(site.desks[0], "desk", "north", phase="draining")
+            await site.wait_until(lambda: isolated.runs.directory.version == 6)
+            await site.wait_until(lambda: not isolated.runs.directory.registry.targets)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_requests_pass_while_the_store_is_unavailable():
@@ -205,13 +209,13 @@
         async with run_site(desks=1) as site:
             site.store.refuse = 503
             follower = site.hosts[0].parts.targets
-            await site.wait(lambda: follower.dependency.is_lost)
+            await site.wait_until(lambda: follower.dependency.is_lost)
             async with site.call("/once/", 1) as answer:
                 assert answer.status == 200
             site.store.refuse = None
-            await site.wait(lambda: not follower.dependency.is_lost)
+            await site.wait_until(lambda: not follower.dependency.is_lost)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_host_started_while_the_store_is_unavailable_gets_targets_from_its_peers():
@@ -221,14 +225,14 @@
             await site.store.stop()
             for host in site.hosts:
                 targets = host.parts.targets
-                await site.wait(lambda: targets.dependency.is_lost)  # noqa: B023
+                await site.wait_until(lambda: targets.dependency.is_lost)  # noqa: B023
             seeds = tuple(host.parts.settings.identity.host for host in site.hosts)
             fresh = await site.add_host("late", "north", seeds)
-            await site.wait(lambda: fresh.is_ready)
+            await site.wait_until(lambda: fresh.is_ready)
             async with site.call("/once/", 1, host=2) as answer:
                 assert answer.status == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_store_is_read_anew_after_it_has_compacted_its_history():
@@ -236,54 +240,56 @@
         async with run_site(desks=1) as site:
             directory = site.hosts[0].parts.runs.directory
             site.store.refuse = 503
-            await site.wait(lambda: site.hosts[0].parts.targets.dependency.is_lost)
+            await site.wait_until(
+                lambda: site.hosts[0].parts.targets.dependency.is_lost
+            )
             site.store.put("op", "config", build_configuration(3))
             site.store.drop("servers", "d0")
             site.store.compact()
             site.store.refuse = None
-            await site.wait(lambda: directory.version == 3)
-            await site.wait(lambda: not directory.registry.rows)
+            await site.wait_until(lambda: directory.version == 3)
+            await site.wait_until(lambda: not directory.registry.rows)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_drain_finishes_running_requests_and_closes_connections():
     async def scenario():
         async with run_site(hosts=1) as site:
             engine = await site.add_engine("x", "north", (0, 8))
-            await site.wait(lambda: len(get_targets(site)) == 1)
+            await site.wait_until(lambda: len(get_targets(site)) == 1)
             engine.events = 60
             host = site.hosts[0]
             async with site.call("/draft/", 1) as answer:
                 await answer.content.readany()
                 stopping = asyncio.create_task(host.drain())
-                await site.wait(lambda: not host.is_ready)
+                await site.wait_until(lambda: not host.is_ready)
                 async with site.call("/draft/", 2) as late:
                     assert late.headers["Connection"] == "close"
-                    assert list_ids(await late.read())[-1] == 60
-                assert list_ids(await answer.read())[-1] == 60
+                    assert list_event_ids(await late.read())[-1] == 60
+                assert list_event_ids(await answer.read())[-1] == 60
             await stopping
             await site.client.close()
             site.client = aiohttp.ClientSession()
             async with site.call("/draft/", 3) as refused:
                 assert refused.status == 503
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_request_is_cancelled_when_its_caller_disconnects():
     async def scenario():
         async with run_site(hosts=1) as site:
             engine = await site.add_engine("x", "north", (0, 8))
-            await site.wait(lambda: len(get_targets(site)) == 1)
+            await site.wait_until(lambda: len(get_targets(site)) == 1)
             engine.events = 2000
             answer = await site.call("/draft/", 1)
             await answer.content.readany()
             answer.close()
-            await site.wait(lambda: not engine._own)
+            await site.wait_until(lambda: not engine._own)
             assert not site.hosts[0].parts.runs.loads.own
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_layers_of_a_removed_engine_are_loaded_by_another():
@@ -296,10 +302,10 @@
             await victim.stop()
             site.store.drop("servers", victim.name)
             fresh = await site.add_engine("fresh", "north")
-            await site.wait(lambda: fresh.held is not None)
+            await site.wait_until(lambda: fresh.held is not None)
             assert fresh.orders[0]["expected_rev"] == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_layers_of_a_dead_engine_are_loaded_by_another_at_once():
@@ -313,24 +319,24 @@
             first = await site.add_engine("x", "north", (0, 4))
             second = await site.add_engine("y", "north", (4, 8))
             third = await site.add_engine("z", "north", (0, 4))
-            await site.wait(lambda: len(get_targets(site)) == 3)
+            await site.wait_until(lambda: len(get_targets(site)) == 3)
             await second.stop()
             host = site.hosts[0].parts.runs
             now = host.clock.monotonic()
             host.directory.suspects.note(second.name, Finding.DEAD, now)
-            await site.wait(
+            await site.wait_until(
                 lambda: any(item.held and item.held[1] == 8 for item in (first, third))
             )
             assert second.name in get_targets(site)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_engine_that_was_found_dead_is_back_as_soon_as_it_answers():
     async def scenario():
         async with run_site(hosts=1) as site:
             engine = await site.add_engine("x", "north", (0, 8))
-            await site.wait(lambda: len(get_targets(site)) == 1)
+            await site.wait_until(lambda: len(get_targets(site)) == 1)
             host = site.hosts[0].parts.runs
             suspects = host.directory.suspects
             for _ in range(4):
@@ -338,12 +344,12 @@
                 suspects.note(engine.name, Finding.DEAD, now - 3.5)
             suspects.note(engine.name, Finding.DEAD, host.clock.monotonic())
             assert suspects.is_dead(engine.name, host.clock.monotonic())
-            await site.wait(
+            await site.wait_until(
                 lambda: not suspects.is_dead(engine.name, host.clock.monotonic()),
                 seconds=1.5,
             )
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_invalid_target_rows_are_ignored():
@@ -353,14 +359,14 @@
             desk = site.desks[0]
             site.store.put("servers", "a", {"service": "desk", "address": desk.address})
             site.store.put_bytes("servers", "b", b"\xff\x00{")
-            site.enter(desk, "desk", "north", phase="resting", name="c")
-            site.enter(desk, "elsewhere", "north", name="d")
-            await site.wait(lambda: TargetId("d") in registry.rows)
+            site.register_target(desk, "desk", "north", phase="resting", name="c")
+            site.register_target(desk, "elsewhere", "north", name="d")
+            await site.wait_until(lambda: TargetId("d") in registry.rows)
             assert not {"a", "b", "c"} & set(registry.rows)
             async with site.call("/once/", 1) as answer:
                 assert answer.status == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_second_host_takes_the_lease_over_at_once_from_one_that_stops():
@@ -374,10 +380,10 @@
                 if host.parts.orderer is holder:
                     host.parts.orderer.retire()
                     host.parts.spread.announce()
-            await site.wait(lambda: other.lease.holds)
+            await site.wait_until(lambda: other.lease.holds)
             assert not holder.lease.holds
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_internal_error_is_answered_with_500_and_the_host_goes_on(monkeypatch):
@@ -395,7 +401,7 @@
             async with site.call("/once/", 2) as answer:
                 assert answer.status == 200
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 async def list_north_hosts(site):
@@ -421,14 +427,16 @@
             idle = [item for item in north if not item.spread.roster.must_read()]
             assert len(idle) == 2
             site.store.put("op", "config", build_configuration(9))
-            site.enter(site.desks[0], "desk", "north", phase="draining")
+            site.register_target(site.desks[0], "desk", "north", phase="draining")
             for item in idle:
-                await site.wait(lambda item=item: item.runs.directory.version == 9)
-                await site.wait(
+                await site.wait_until(
+                    lambda item=item: item.runs.directory.version == 9
+                )
+                await site.wait_until(
                     lambda item=item: not item.runs.directory.registry.targets
                 )
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_host_reads_the_store_when_the_readers_are_cut_off():
@@ -439,34 +447,36 @@
                 if item.spread.roster.must_read():
                     item.configuration._feeds._base = "http://127.0.0.1:9"
             idle = next(item for item in north if not item.spread.roster.must_read())
-            await site.wait(idle.spread.roster.must_read)
+            await site.wait_until(idle.spread.roster.must_read)
             site.store.put("op", "config", build_configuration(9))
             for item in north:
-                await site.wait(lambda item=item: item.runs.directory.version == 9)
+                await site.wait_until(
+                    lambda item=item: item.runs.directory.version == 9
+                )
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_hosts_of_a_large_data_centre_learn_loads_from_their_relay():
     async def scenario():
         async with run_site(engines=2, hosts=16) as site:
             north = await list_north_hosts(site)
-            await site.wait(lambda: count_relay_hosts(north) == 3)
+            await site.wait_until(lambda: count_relay_hosts(north) == 3)
             spokes = [item for item in north if not item.spread.roster.is_relay]
             assert len(spokes) == 5
             one, other = spokes[0], spokes[1]
             target = next(iter(one.runs.directory.registry.targets))
             one.runs.loads.hold(target, Usage(1, 900))
-            await site.wait(lambda: other.runs.loads.get(target) == Usage(1, 900))
-            await site.wait(lambda: one.runs.loads.get(target) == Usage(1, 900))
-            await site.wait(lambda: other.spread.roster.count_local() == 8)
-            await site.wait(lambda: other.spread.roster.count_live() == 16)
+            await site.wait_until(lambda: other.runs.loads.get(target) == Usage(1, 900))
+            await site.wait_until(lambda: one.runs.loads.get(target) == Usage(1, 900))
+            await site.wait_until(lambda: other.spread.roster.count_local() == 8)
+            await site.wait_until(lambda: other.spread.roster.count_live() == 16)
             south = site.hosts[-1].parts.runs.loads
-            await site.wait(lambda: south.get(target) == Usage(1, 900))
+            await site.wait_until(lambda: south.get(target) == Usage(1, 900))
             one.runs.loads.release(target, Usage(1, 900))
-            await site.wait(lambda: other.runs.loads.get(target) == Usage())
+            await site.wait_until(lambda: other.runs.loads.get(target) == Usage())
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_loads_are_relayed_after_the_lead_relay_is_lost():
@@ -478,6 +488,8 @@
             await lead.network.stop()
             target = next(iter(lead.runs.directory.registry.targets))
             spokes[0].runs.loads.hold(target, Usage(1, 900))
-            await site.wait(lambda: spokes[1].runs.loads.get(target) == Usage(1, 900))
+            await site.wait_until(
+                lambda: spokes[1].runs.loads.get(target) == Usage(1, 900)
+            )
 
-    run(scenario())
+    run_scenario(scenario())
--- a/marigoldswitch/tests/test_store_restored.py
+++ b/marigoldswitch/tests/test_store_restored.py
@@ -22,10 +22,10 @@
 from marigoldswitch.standins.platform_engines import EngineStandin
 from marigoldswitch.standins.platform_store import StoreStandin
 from marigoldswitch.tests.gateway_site import (
-    CENTRES,
+    DATA_CENTRES,
     build_configuration,
     get_targets,
-    run,
+    run_scenario,
     run_site,
 )
 from marigoldswitch.wire import MessageCodec
@@ -337,12 +337,16 @@
     async def scenario():
         async with run_site(hosts=3, desks=2) as site:
             store, hosts = site.store, site.hosts
-            await site.wait(lambda: all(len(_list_names(host)) == 2 for host in hosts))
+            await site.wait_until(
+                lambda: all(len(_list_names(host)) == 2 for host in hosts)
+            )
             store.copy()
-            lost = await site.add_engine("lost", CENTRES[0], (0, 8))
-            await site.wait(lambda: all("lost" in _list_names(host) for host in hosts))
+            lost = await site.add_engine("lost", DATA_CENTRES[0], (0, 8))
+            await site.wait_until(
+                lambda: all("lost" in _list_names(host) for host in hosts)
+            )
             store.put("op", "config", build_configuration(version=5))
-            await site.wait(
+            await site.wait_until(
                 lambda: all(host.parts.runs.directory.version == 5 for host in hosts)
             )
             fresh = EngineStandin("fresh", site.engines)
@@ -350,27 +354,35 @@
             await fresh.start()
             store.refuse = 503 if is_noticed else None
             if is_noticed:
-                await site.wait(lambda: all(_has_lost_store(host) for host in hosts))
+                await site.wait_until(
+                    lambda: all(_has_lost_store(host) for host in hosts)
+                )
             store.restore()
-            site.enter(fresh, "model", CENTRES[1])
-            for desk, centre in zip(site.desks, CENTRES, strict=True):
-                site.enter(desk, "desk", centre)
-            site.enter(lost, "model", CENTRES[0])
+            site.register_target(fresh, "model", DATA_CENTRES[1])
+            for desk, centre in zip(site.desks, DATA_CENTRES, strict=True):
+                site.register_target(desk, "desk", centre)
+            site.register_target(lost, "model", DATA_CENTRES[0])
             for number in range(20):
                 store.put("other", "row", number)
             store.refuse = None
             names = {"d0", "d1", "lost", "fresh"}
-            await site.wait(lambda: all(_list_names(host) == names for host in hosts))
+            await site.wait_until(
+                lambda: all(_list_names(host) == names for host in hosts)
+            )
             assert all(host.parts.runs.directory.version == 5 for host in hosts)
             store.put("op", "config", build_configuration(version=6))
-            await site.wait(
+            await site.wait_until(
                 lambda: all(host.parts.runs.directory.version == 6 for host in hosts)
             )
             await fresh.stop()
             store.drop("servers", "fresh")
-            await site.wait(lambda: all("fresh" not in _list_names(h) for h in hosts))
+            await site.wait_until(
+                lambda: all("fresh" not in _list_names(h) for h in hosts)
+            )
             own = [host.settings.identity.host for host in hosts]
-            await site.wait(lambda: all(store.read("hosts", name) for name in own))
+            await site.wait_until(
+                lambda: all(store.read("hosts", name) for name in own)
+            )
             assert len(get_targets(site)) == 3
 
-    run(scenario())
+    run_scenario(scenario())
--- a/marigoldswitch/tests/test_stream_losses.py
+++ b/marigoldswitch/tests/test_stream_losses.py
@@ -13,8 +13,8 @@
     build_configuration,
     check_layers,
     get_targets,
-    list_ids,
-    run,
+    list_event_ids,
+    run_scenario,
     run_site,
 )
 
@@ -26,20 +26,20 @@
             second = await site.add_engine("second", "north", (4, 8))
             await site.add_engine("spare", "north", (4, 8))
             await site.wait_for_layout()
-            await site.wait(lambda: len(get_targets(site)) == 3)
+            await site.wait_until(lambda: len(get_targets(site)) == 3)
             first.events = 60
             async with site.call("/draft/", 1) as answer:
                 await answer.content.readany()
                 victim = site.engines.streams[0].path[1][0]
                 await site.engines.engines[victim].stop()
                 body = await answer.read()
-            assert list_ids(body)[-1] == 60
+            assert list_event_ids(body)[-1] == 60
             assert first.runs["try-1"] == 1
             assert any(order["op"] == "repath" for order in first.orders)
             check_layers(site)
             assert second.sequence == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_stream_goes_on_elsewhere_when_its_first_engine_dies():
@@ -48,18 +48,18 @@
             for name in ("x", "y"):
                 engine = await site.add_engine(name, "north", (0, 8))
                 engine.events = 60
-            await site.wait(lambda: len(get_targets(site)) == 2)
+            await site.wait_until(lambda: len(get_targets(site)) == 2)
             async with site.call("/draft/", 1) as answer:
                 signature = answer.headers["Replica-Signature"]
                 head = await answer.content.readany()
                 victim = site.engines.streams[0].path[0][0]
                 await site.engines.engines[victim].stop()
                 body = head + await answer.read()
-            assert list_ids(body) == list(range(1, 61))
+            assert list_event_ids(body) == list(range(1, 61))
             assert signature == f"signed-by-{site.engines.engines[victim].name}"
             check_layers(site)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_event_that_is_cut_off_is_requested_again():
@@ -68,19 +68,19 @@
             await site.add_engine("y", "north", (0, 8))
             cutting = await site.add_engine("x", "north", (0, 8))
             cutting.cut_after = 5
-            await site.wait(lambda: len(get_targets(site)) == 2)
+            await site.wait_until(lambda: len(get_targets(site)) == 2)
             for number in range(4):
                 async with site.call("/draft/", number) as answer:
-                    assert list_ids(await answer.read()) == ALL_EVENTS
+                    assert list_event_ids(await answer.read()) == ALL_EVENTS
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_stream_that_can_not_go_on_does_not_look_complete():
     async def scenario():
         async with run_site(hosts=1) as site:
             engine = await site.add_engine("x", "north", (0, 8))
-            await site.wait(lambda: len(get_targets(site)) == 1)
+            await site.wait_until(lambda: len(get_targets(site)) == 1)
             engine.events = 60
             async with site.call("/draft/", 1) as answer:
                 await answer.content.readany()
@@ -88,7 +88,7 @@
                 with pytest.raises(aiohttp.ClientError):
                     await answer.read()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_stream_takes_a_detour_around_an_engine_that_restarts_under_the_same_id():
@@ -98,10 +98,10 @@
             others = [await site.add_engine(name, "north", (4, 8)) for name in "yz"]
             for engine in (first, *others):
                 engine.born = 1_000
-                site.enter(engine, "model", "north")
+                site.register_target(engine, "model", "north")
             first.events = 120
             registry = site.hosts[0].parts.runs.directory.registry
-            await site.wait(
+            await site.wait_until(
                 lambda: [registry.get_born(name) for name in "xyz"] == [1_000] * 3
             )
             async with site.call("/draft/", 1) as answer:
@@ -109,18 +109,18 @@
                 record = site.engines.streams[0]
                 again = site.engines.engines[record.path[1][0]]
                 again.restart(2_000)
-                site.enter(again, "model", "north")
-                assert list_ids(await answer.read())[-1] == 120
+                site.register_target(again, "model", "north")
+                assert list_event_ids(await answer.read())[-1] == 120
             assert record.path[1][0] != again.address
             # A late row of the previous process must not replace the newer start.
             again.held, again.born = (4, 8), 1_000
-            site.enter(again, "model", "north")
+            site.register_target(again, "model", "north")
             again.held, again.born = None, 2_000
-            site.enter(first, "model", "north", name="last")
-            await site.wait(lambda: "last" in registry.rows)
+            site.register_target(first, "model", "north", name="last")
+            await site.wait_until(lambda: "last" in registry.rows)
             assert registry.get_born(again.name) == 2_000
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_stream_is_not_sent_again_to_the_engine_that_has_just_lost_it():
@@ -129,7 +129,7 @@
             for name in ("x", "y"):
                 engine = await site.add_engine(name, "north", (0, 8))
                 engine.events = 60
-            await site.wait(lambda: len(get_targets(site)) == 2)
+            await site.wait_until(lambda: len(get_targets(site)) == 2)
             for number in range(8):
                 for engine in site.engines.engines.values():
                     engine.cut_after = 3
@@ -139,11 +139,11 @@
                     for address, engine in site.engines.engines.items():
                         if address != first:
                             engine.cut_after = None
-                    assert list_ids(await answer.read())[-1] == 60
+                    assert list_event_ids(await answer.read())[-1] == 60
                 for engine in site.engines.engines.values():
                     assert engine.runs[f"try-{number}"] == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_stream_that_has_begun_goes_on_although_engines_refuse_it_at_first():
@@ -152,7 +152,7 @@
             engines = [
                 await site.add_engine(name, "north", (0, 8)) for name in ("x", "y", "z")
             ]
-            await site.wait(lambda: len(get_targets(site)) == 3)
+            await site.wait_until(lambda: len(get_targets(site)) == 3)
             runs = site.hosts[0].parts.runs
             runs.retries.update_limits(10.0, 0.0)
             budget = runs.retries.get(ServiceName("model"))
@@ -166,9 +166,9 @@
                 for engine in engines:
                     engine.refusals = 2
                     engine.cut_after = None
-                assert list_ids(await answer.read())[-1] == 60
+                assert list_event_ids(await answer.read())[-1] == 60
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_one_time_stream_is_not_run_again_though_its_engine_is_known_to_be_dead():
@@ -187,7 +187,7 @@
                 await site.add_engine(name, "north", (0, 8))
             runs = site.hosts[0].parts.runs
             directory = runs.directory
-            await site.wait(
+            await site.wait_until(
                 lambda: len(get_targets(site)) == 2 and directory.version == 2
             )
             send = runs.upstream.send
@@ -204,7 +204,7 @@
                 assert answer.status == 502
             assert sum(len(item.runs) for item in site.engines.engines.values()) == 1
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_stream_goes_on_although_a_release_ends_one_of_its_engines_after_the_other():
@@ -221,19 +221,21 @@
             for name in "wxyz":
                 engine = await site.add_engine(name, "north", (0, 8))
                 engine.events = 100
-            await site.wait(lambda: len(get_targets(site)) == 4)
+            await site.wait_until(lambda: len(get_targets(site)) == 4)
             async with site.call("/draft/", 1) as answer:
                 body = b""
                 for number in range(1, 4):
-                    await site.wait(lambda n=number: len(site.engines.streams) == n)
+                    await site.wait_until(
+                        lambda n=number: len(site.engines.streams) == n
+                    )
                     body += await answer.content.readany()
                     await site.engines.engines[
                         site.engines.streams[-1].path[0][0]
                     ].stop()
                 body += await answer.read()
-            assert list_ids(body) == list(range(1, 101))
+            assert list_event_ids(body) == list(range(1, 101))
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 async def add_resetting_engine(site):
@@ -258,10 +260,10 @@
             for number in range(30):
                 async with site.call("/draft/", number) as answer:
                     assert answer.status == 200
-                    assert list_ids(await answer.read()) == ALL_EVENTS
+                    assert list_event_ids(await answer.read()) == ALL_EVENTS
             assert len(bad.bodies) <= 3
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_host_whose_connections_were_all_reset_still_serves():
@@ -269,14 +271,14 @@
         async with run_site(hosts=1) as site:
             for name in ("x", "y"):
                 await site.add_engine(name, "north", (0, 8))
-            await site.wait(lambda: len(get_targets(site)) == 2)
+            await site.wait_until(lambda: len(get_targets(site)) == 2)
             suspects = site.hosts[0].parts.runs.directory.suspects
             for name in ("x", "y"):
                 suspects.note(TargetId(name), Finding.FAILED, _now(site))
             async with site.call("/draft/", 1) as answer:
-                assert list_ids(await answer.read()) == ALL_EVENTS
+                assert list_event_ids(await answer.read()) == ALL_EVENTS
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def _now(site):
@@ -295,11 +297,13 @@
             for name in "xyz":
                 engine = await site.add_engine(name, "north", (0, 8))
                 engine.events = 400
-            await site.wait(lambda: len(get_targets(site)) == 3)
+            await site.wait_until(lambda: len(get_targets(site)) == 3)
             suspects = site.hosts[0].parts.runs.directory.suspects
             async with site.call("/draft/", 1) as answer:
                 for number in (1, 2):
-                    await site.wait(lambda n=number: len(site.engines.streams) == n)
+                    await site.wait_until(
+                        lambda n=number: len(site.engines.streams) == n
+                    )
                     await answer.content.readany()
                     first = site.engines.streams[-1].path[0][0]
                     name = TargetId(site.engines.engines[first].name)
@@ -308,7 +312,7 @@
                     await answer.read()
             assert len(site.engines.streams) == 2
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_stream_waits_for_a_new_engine_as_long_as_its_caller_does():
@@ -322,7 +326,7 @@
         async with run_site(hosts=1) as site:
             first = await site.add_engine("x", "north", (0, 8))
             first.events = 60
-            await site.wait(lambda: len(get_targets(site)) == 1)
+            await site.wait_until(lambda: len(get_targets(site)) == 1)
             async with site.call("/draft/", 1) as answer:
                 body = await answer.content.readany()
                 await first.stop()
@@ -330,10 +334,10 @@
                 engine = await site.add_engine("y", "north", (0, 8))
                 engine.events = 60
                 body += await answer.read()
-            assert list_ids(body) == list(range(1, 61))
+            assert list_event_ids(body) == list(range(1, 61))
             check_layers(site)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_engine_that_resets_all_requests_gets_none_twice_over_kept_connections():
@@ -350,10 +354,10 @@
             for number in range(30):
                 await parts.engines.read(bad.address, 1.0)
                 async with site.call("/draft/", number) as answer:
-                    assert list_ids(await answer.read()) == ALL_EVENTS
+                    assert list_event_ids(await answer.read()) == ALL_EVENTS
                 known = parts.directory.suspects._suspicions.get("bad")
                 if known is not None and len(bad.bodies) < 3:
                     known.until = 0.0
             assert len(bad.bodies) == 3
 
-    run(scenario())
+    run_scenario(scenario())
