--- a/marigoldswitch/gateway/followers.py
+++ b/marigoldswitch/gateway/followers.py
@@ -236,7 +236,7 @@
     :param now: monotonic time in seconds.
     """
     registry = directory.registry
-    if changes.is_whole:
+    if changes.is_full_list:
         registry.replace_all(changes.rows, changes.revision, now)
         directory.has_targets = True
         return
--- a/marigoldswitch/gateway/fronts.py
+++ b/marigoldswitch/gateway/fronts.py
@@ -160,7 +160,9 @@
             raise RequestRefused(
                 Fault(ErrorKind.NO_TARGET, "the service is not configured")
             )
-        wait = route.timeout if call.wait is None else min(call.wait, route.timeout)
+        wait = (
+            route.timeout if call.timeout is None else min(call.timeout, route.timeout)
+        )
         priority = route.priority
         if account is not None and account.priority is not None:
             priority = account.priority
@@ -312,7 +314,7 @@
 
     :raises RequestRefused: if the route needs a key and the caller's is missing or unknown.
     """
-    account = table.accounts.get(call.key) if call.key else None
+    account = table.accounts.get(call.api_key) if call.api_key else None
     if account is None and table.needs_keys and not route.is_public:
         raise RequestRefused(Fault(ErrorKind.UNAUTHENTICATED))
     return account
--- a/marigoldswitch/gateway/hosts.py
+++ b/marigoldswitch/gateway/hosts.py
@@ -148,7 +148,7 @@
         except TimeoutError:
             logger.warning("drain_cut_short", busy=parts.front.running_requests)
 
-    def use_settings(self, new_settings: HostSettings) -> None:
+    def apply_settings(self, new_settings: HostSettings) -> None:
         """Apply the changed settings that don't need a restart."""
         old = self.settings
         needing_restart = [
@@ -176,7 +176,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        result = await parts.host_directory.leave(self._record)
+        result = await parts.host_directory.deregister(self._record)
         if isinstance(result, Err):
             logger.info("host_row_left", why=result.err_value.value)
         for runner in self._runners:
@@ -274,7 +274,7 @@
     async def _write_row(self) -> None:
         """Write this host's row, retrying until it works."""
         while True:
-            if (await self.parts.host_directory.enter(self._record)).is_ok():
+            if (await self.parts.host_directory.register(self._record)).is_ok():
                 return
             await asyncio.sleep(REGISTER_RETRY_SECONDS)
 
--- a/marigoldswitch/gateway/plain.py
+++ b/marigoldswitch/gateway/plain.py
@@ -21,7 +21,7 @@
     note_served,
     reserve_resend,
 )
-from marigoldswitch.gateway.ports import Sending
+from marigoldswitch.gateway.ports import ForwardOptions
 from marigoldswitch.gateway.upstream import Answered, Lost, NotSent, SendResult
 
 logger = structlog.get_logger(__name__)
@@ -161,7 +161,7 @@
         exchange.run_count += 1
         usage = Usage(1, 0)
         parts.loads.hold(target.id, usage)
-        sending = Sending(
+        sending = ForwardOptions(
             target.id, exchange.deadline - now, exchange.account, exchange.priority
         )
         own_connection = needs_new_connection(parts, exchange)
@@ -223,7 +223,7 @@
                     # Not marked as dead, as its opening packet may just have been lost:
                     # other hosts also leave out a target that is marked as dead here.
                     parts.directory.suspects.note(target.id, Finding.FAILED, now)
-                    parts.probes.check_later(target)
+                    parts.probes.check_in_background(target)
             case Lost(why):
                 outcome = f"lost: {why}"
                 self._selector.note_failure(target.id, elapsed, now)
--- a/marigoldswitch/gateway/ports.py
+++ b/marigoldswitch/gateway/ports.py
@@ -25,8 +25,8 @@
 
     :param id: unique id of this attempt of the caller; never reused.
     :param path: path and query, as received.
-    :param key: API key that identifies the caller's client account, if given.
-    :param wait: seconds that the caller waits for the answer, if given.
+    :param api_key: API key that identifies the caller's client account, if given.
+    :param timeout: seconds that the caller waits for the answer, if given.
     :param last_event: id of the last stream event that the caller has received.
     :param prompt_tokens: tokens of the prompt; 0 if unknown.
     :param answer_tokens: estimated tokens of the answer.
@@ -37,8 +37,8 @@
     method: str
     host: str
     path: str
-    key: str | None
-    wait: float | None
+    api_key: str | None
+    timeout: float | None
     last_event: str | None
     prompt_tokens: int
     answer_tokens: int
@@ -51,10 +51,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class ForwardOptions:
     """Parameters with which a request is forwarded to a target.
 
-    :param left: seconds that the target may take.
+    :param timeout: seconds that the target may take.
     :param account: client account of the caller, if it gave a key.
     :param priority: rank of the request; 0 is the highest.
     :param chain: the engines that run a model request, in order.
@@ -62,7 +62,7 @@
     """
 
     target: TargetId
-    left: float
+    timeout: float
     account: AccountId | None
     priority: int
     chain: Sequence[Stage] = ()
@@ -100,7 +100,7 @@
         """Decode a caller's request, or return what is wrong with it."""
         ...
 
-    def write_headers(self, call: Call, sending: Sending) -> CIMultiDict[str]:
+    def write_headers(self, call: Call, sending: ForwardOptions) -> CIMultiDict[str]:
         """Return the headers with which a request goes to a target."""
         ...
 
@@ -112,11 +112,13 @@
         """Return the headers of a target's answer that go to the caller."""
         ...
 
-    def write_refusal(self, call: Call | None, wait: float | None) -> CIMultiDict[str]:
+    def write_refusal(
+        self, call: Call | None, retry_after: float | None
+    ) -> CIMultiDict[str]:
         """Return the headers of an error answer that this host writes itself.
 
         :param call: the refused request, if it could be decoded.
-        :param wait: seconds after which the caller may retry, if known.
+        :param timeout: seconds after which the caller may retry, if known.
         """
         ...
 
@@ -182,7 +184,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineMute:
+class EngineWithoutReport:
     """A process has answered without a status report; nothing else is known of it.
 
     :param has_reports: whether it supports reports; without them it is no engine.
@@ -191,7 +193,7 @@
     has_reports: bool = True
 
 
-EngineAnswer = EngineStatus | EngineGone | EngineMute
+EngineAnswer = EngineStatus | EngineGone | EngineWithoutReport
 
 
 class EngineControl(Protocol):
@@ -240,13 +242,13 @@
     :param rows: rows that were written.
     :param removed: targets whose rows were deleted.
     :param revision: revision of the store up to which the changes are complete.
-    :param is_whole: ``rows`` is the complete list instead of changes.
+    :param is_full_list: ``rows`` is the complete list instead of changes.
     """
 
     rows: Sequence[TargetRow]
     removed: Sequence[TargetId]
     revision: int
-    is_whole: bool = False
+    is_full_list: bool = False
 
 
 class FeedFault(Enum):
@@ -320,11 +322,11 @@
 class HostDirectory(Protocol):
     """Rows of the store by which gateway hosts find each other."""
 
-    async def enter(self, record: HostRecord) -> Result[None, StoreFault]:
+    async def register(self, record: HostRecord) -> Result[None, StoreFault]:
         """Write this host's row."""
         ...
 
-    async def leave(self, record: HostRecord) -> Result[None, StoreFault]:
+    async def deregister(self, record: HostRecord) -> Result[None, StoreFault]:
         """Delete a host's row."""
         ...
 
--- a/marigoldswitch/gateway/probing.py
+++ b/marigoldswitch/gateway/probing.py
@@ -177,7 +177,7 @@
                 self._start_recheck(item, [item])
         return status
 
-    def check_later(self, target: Target) -> None:
+    def check_in_background(self, target: Target) -> None:
         """Probe an engine that a peer reports as silent, without waiting for it."""
         if target.id not in self._background_checks:
             task = asyncio.ensure_future(self.check(target))
--- a/marigoldswitch/gateway/questions.py
+++ b/marigoldswitch/gateway/questions.py
@@ -17,8 +17,8 @@
     EngineAnswer,
     EngineControl,
     EngineGone,
-    EngineMute,
     EngineStatus,
+    EngineWithoutReport,
 )
 
 TRY_TIMEOUTS = (0.025, 0.035)
@@ -118,7 +118,7 @@
             match await self._engines.read(target.address, seconds):
                 case EngineGone():
                     return True
-                case EngineMute(has_reports):
+                case EngineWithoutReport(has_reports):
                     return bool(target.accelerator) and not has_reports
                 case EngineStatus(born=found):
                     return found > born > 0
@@ -141,7 +141,11 @@
         if answer is not None:
             now = self._clock.monotonic()
             self.health.note_answer(target.data_centre, asked, now)
-        return _interpret(target, answer) if isinstance(answer, EngineMute) else answer
+        return (
+            _interpret(target, answer)
+            if isinstance(answer, EngineWithoutReport)
+            else answer
+        )
 
     def _probe_controls(self, target: Target, since: float) -> None:
         """Probe other engines to find out whether this host gets answers at all.
@@ -219,7 +223,9 @@
     return EngineStatus(target.layers, False, 0)
 
 
-def _interpret(target: Target, answer: EngineMute) -> EngineStatus | EngineGone:
+def _interpret(
+    target: Target, answer: EngineWithoutReport
+) -> EngineStatus | EngineGone:
     """Return what an answer without a report implies about a target.
 
     Addresses are reused: an engine whose address now answers with 404 has ended and
--- a/marigoldswitch/gateway/spread.py
+++ b/marigoldswitch/gateway/spread.py
@@ -309,7 +309,7 @@
             if target is None or parts.directory.suspects.is_excluded(name, now):
                 continue
             if self._must_probe(target):
-                parts.probes.check_later(target)
+                parts.probes.check_in_background(target)
 
     def _must_probe(self, target: Target) -> bool:
         """Tell whether this host, or one that it informs, may use a target.
--- a/marigoldswitch/gateway/streams.py
+++ b/marigoldswitch/gateway/streams.py
@@ -32,7 +32,7 @@
     reserve_resend,
 )
 from marigoldswitch.gateway.forwarding import EventForwarder
-from marigoldswitch.gateway.ports import Sending
+from marigoldswitch.gateway.ports import ForwardOptions
 from marigoldswitch.gateway.upstream import Lost, NotSent
 
 logger = structlog.get_logger(__name__)
@@ -268,7 +268,7 @@
         exchange.send_count += 1
         exchange.run_count += 1
         now = parts.clock.monotonic()
-        sending = Sending(
+        sending = ForwardOptions(
             first_row.target.id,
             exchange.deadline - now,
             exchange.account,
@@ -292,7 +292,7 @@
             case Lost(why):
                 now = parts.clock.monotonic()
                 parts.directory.suspects.note(first_row.target.id, Finding.FAILED, now)
-                parts.probes.check_later(first_row.target)
+                parts.probes.check_in_background(first_row.target)
                 raise ChainBroken(f"no answer: {why}")
         try:
             return await self._relay_answer(result)
@@ -312,7 +312,7 @@
         return lost.is_stale and not has_failed and parts.probes.has_served(target.id)
 
     async def _send(
-        self, target: Target, sending: Sending, new_connection: bool
+        self, target: Target, sending: ForwardOptions, new_connection: bool
     ) -> aiohttp.ClientResponse | NotSent | Lost:
         call, body = self._exchange.call, self._exchange.body
         request = self._parts.upstream.send(target, call, body, sending, new_connection)
@@ -331,7 +331,7 @@
             parts.directory.suspects.note(target.id, Finding.DEAD, now)
             return
         parts.directory.suspects.note(target.id, Finding.REFUSED, now)
-        parts.probes.check_later(target)
+        parts.probes.check_in_background(target)
 
     async def _discount_run_if_ended(self, first: Target) -> None:
         """Exempt a run from the route's limit on targets if its engine has ended.
--- a/marigoldswitch/gateway/upstream.py
+++ b/marigoldswitch/gateway/upstream.py
@@ -10,7 +10,7 @@
 from marigoldswitch.core.catalogue import Target
 from marigoldswitch.core.ports import Clock
 from marigoldswitch.gateway.connections import Connections, ConnectionUse
-from marigoldswitch.gateway.ports import Call, CallCodec, ReplyFacts, Sending
+from marigoldswitch.gateway.ports import Call, CallCodec, ForwardOptions, ReplyFacts
 
 STALE_CONNECTION_SECONDS = 0.1
 """Time within which a reused connection that the target has forgotten breaks: a few
@@ -80,7 +80,7 @@
         target: Target,
         call: Call,
         body: bytes,
-        sending: Sending,
+        sending: ForwardOptions,
         new_connection: bool,
     ) -> "aiohttp.ClientResponse | NotSent | Lost":
         """Send a request and return the response once its headers have arrived.
@@ -119,12 +119,12 @@
         target: Target,
         call: Call,
         body: bytes,
-        sending: Sending,
+        sending: ForwardOptions,
         new_connection: bool,
     ) -> SendResult:
         """Send a request and return its complete answer, within ``sending.left``."""
         try:
-            async with asyncio.timeout(sending.left):
+            async with asyncio.timeout(sending.timeout):
                 result = await self.send(target, call, body, sending, new_connection)
                 if isinstance(result, aiohttp.ClientResponse):
                     return await self._read_whole(call, result)
--- a/marigoldswitch/platform/daemon.py
+++ b/marigoldswitch/platform/daemon.py
@@ -100,7 +100,7 @@
                 if store_address != self._store_address:
                     names = ["platform.address"]
                     logger.warning("settings_need_restart", settings=names)
-                self._host.use_settings(settings)
+                self._host.apply_settings(settings)
 
     def _read_file_state(self) -> tuple[int, int] | None:
         """Return modification time in ns and size; ``None`` if they can't be read."""
--- a/marigoldswitch/platform/engines.py
+++ b/marigoldswitch/platform/engines.py
@@ -14,8 +14,8 @@
 from marigoldswitch.gateway.ports import (
     EngineAnswer,
     EngineGone,
-    EngineMute,
     EngineStatus,
+    EngineWithoutReport,
     OrderReply,
     OrderResult,
     StalledRequest,
@@ -65,14 +65,14 @@
                 content = await response.read()
                 if response.status != 200:
                     logger.info("report_refused", address=address, at=response.status)
-                    return EngineMute(response.status != HTTP_NOT_FOUND)
+                    return EngineWithoutReport(response.status != HTTP_NOT_FOUND)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             logger.info("report_missing", address=address, why=repr(error))
             return EngineGone() if is_connection_refused(error) else None
         status = decode_report(content)
         if status is None:
             logger.error("report_unreadable", address=address)
-            return EngineMute()
+            return EngineWithoutReport()
         return status
 
     async def place(
--- a/marigoldswitch/platform/headers.py
+++ b/marigoldswitch/platform/headers.py
@@ -8,7 +8,7 @@
 from marigoldswitch.core.catalogue import Load
 from marigoldswitch.core.ids import RequestId
 from marigoldswitch.core.stages import Stage
-from marigoldswitch.gateway.ports import Call, ReplyFacts, Sending
+from marigoldswitch.gateway.ports import Call, ForwardOptions, ReplyFacts
 
 ATTEMPT_ID = "Attempt-Id"
 """Id of one attempt of the caller; the gateway's own retries share it."""
@@ -99,10 +99,10 @@
             )
         )
 
-    def write_headers(self, call: Call, sending: Sending) -> CIMultiDict[str]:
+    def write_headers(self, call: Call, sending: ForwardOptions) -> CIMultiDict[str]:
         """Return the headers of a request that is sent to a target."""
         headers = CIMultiDict(call.headers)
-        remaining_ms = max(1, int(sending.left * MILLISECONDS_PER_SECOND))
+        remaining_ms = max(1, int(sending.timeout * MILLISECONDS_PER_SECOND))
         headers[DEADLINE] = str(remaining_ms)
         headers[EXPECT_TARGET] = sending.target
         if sending.account is not None:
@@ -134,17 +134,19 @@
             headers, frozenset({"content-length", TARGET_LOAD.lower()})
         )
 
-    def write_refusal(self, call: Call | None, wait: float | None) -> CIMultiDict[str]:
+    def write_refusal(
+        self, call: Call | None, retry_after: float | None
+    ) -> CIMultiDict[str]:
         """Return the headers of a refusal by the gateway itself.
 
         :param call: ``None`` if the request could not be decoded.
-        :param wait: seconds after which the caller may try again, if known.
+        :param retry_after: seconds after which the caller may try again, if known.
         """
         headers: CIMultiDict[str] = CIMultiDict()
         if call is not None and call.id:
             headers[ATTEMPT_ID] = call.id
-        if wait is not None:
-            headers[RETRY_AFTER] = f"{wait:.2f}"
+        if retry_after is not None:
+            headers[RETRY_AFTER] = f"{retry_after:.2f}"
         return headers
 
 
--- a/marigoldswitch/platform/store.py
+++ b/marigoldswitch/platform/store.py
@@ -180,14 +180,14 @@
             return Err(StoreFault.RESTORED)
         return written
 
-    async def enter(self, record: HostRecord) -> Result[None, StoreFault]:
+    async def register(self, record: HostRecord) -> Result[None, StoreFault]:
         """Write this host's row."""
         value = bytes(msgpack.packb([record.data_centre, record.strength]))
         put = _encode_row(HOSTS_TABLE, record.address, value)
         written = await self._transact([], [put], [])
         return Err(written.err_value) if isinstance(written, Err) else Ok(None)
 
-    async def leave(self, record: HostRecord) -> Result[None, StoreFault]:
+    async def deregister(self, record: HostRecord) -> Result[None, StoreFault]:
         """Delete a host's row."""
         row_key = {"table": HOSTS_TABLE, "part": "", "key": record.address}
         written = await self._transact([], [], [row_key])
--- a/marigoldswitch/tests/test_deputies.py
+++ b/marigoldswitch/tests/test_deputies.py
@@ -56,7 +56,7 @@
             await lost.stop()
             for host in site.hosts:
                 target = host.parts.runs.directory.registry.targets[lost.name]
-                host.parts.runs.probes.check_later(target)
+                host.parts.runs.probes.check_in_background(target)
             await site.wait_until(
                 lambda: any(
                     item.held and item.held[1] == 8
--- a/marigoldswitch/tests/test_platform_daemon.py
+++ b/marigoldswitch/tests/test_platform_daemon.py
@@ -14,7 +14,7 @@
 
 def build_reloader(path):
     applied = []
-    host = SimpleNamespace(use_settings=applied.append)
+    host = SimpleNamespace(apply_settings=applied.append)
     return SettingsReloader(path, "10.200.1.7:8223", host), applied
 
 
@@ -56,7 +56,7 @@
         async with run_site(hosts=1) as site:
             host = site.hosts[0]
             before = host.settings
-            host.use_settings(fresh)
+            host.apply_settings(fresh)
             assert host.settings.addresses == before.addresses
             assert host.settings.stop_seconds == 5.0
             budget = host.parts.runs.retries.get("desk")
--- a/marigoldswitch/tests/test_platform_headers.py
+++ b/marigoldswitch/tests/test_platform_headers.py
@@ -7,7 +7,7 @@
 from marigoldswitch.core.catalogue import LayerRange, Load
 from marigoldswitch.core.ids import AccountId, TargetId
 from marigoldswitch.core.stages import Stage
-from marigoldswitch.gateway.ports import Sending
+from marigoldswitch.gateway.ports import ForwardOptions
 from marigoldswitch.platform.headers import HeaderCodec
 
 CODEC = HeaderCodec()
@@ -36,15 +36,15 @@
 
 
 def write(call, **fields):
-    sending = Sending(TargetId("i-7"), 1.5, AccountId("workshop"), 1, **fields)
+    sending = ForwardOptions(TargetId("i-7"), 1.5, AccountId("workshop"), 1, **fields)
     return CODEC.write_headers(call, sending)
 
 
 def test_call_headers_are_decoded():
     call = read(HEADERS).unwrap()
     assert (call.id, call.host, call.path) == ("9c41", "drafts.example", "/a?b=1")
-    assert call.key == "secret"
-    assert call.wait == 20.0
+    assert call.api_key == "secret"
+    assert call.timeout == 20.0
     assert (call.prompt_tokens, call.answer_tokens) == (1460, 33)
 
 
@@ -61,7 +61,7 @@
 
 
 def test_account_of_a_caller_without_a_key_is_not_passed_on():
-    sending = Sending(TargetId("i-7"), 1.5, None, 1)
+    sending = ForwardOptions(TargetId("i-7"), 1.5, None, 1)
     assert "Tenant" not in CODEC.write_headers(read(HEADERS).unwrap(), sending)
 
 
--- a/marigoldswitch/tests/test_platform_store.py
+++ b/marigoldswitch/tests/test_platform_store.py
@@ -21,7 +21,7 @@
         store = PlatformStore(session, standin.address)
         # A call times out after 0.6 s; hosts retry it as well.
         for _ in range(5):
-            if (await store.enter(RECORD)).is_ok():
+            if (await store.register(RECORD)).is_ok():
                 break
         listed = await store.list_hosts()
         await session.close()
--- a/marigoldswitch/tests/test_probing.py
+++ b/marigoldswitch/tests/test_probing.py
@@ -16,7 +16,7 @@
 from marigoldswitch.core.catalogue import LayerRange
 from marigoldswitch.core.ids import DataCentre, TargetId
 from marigoldswitch.gateway.directory import Directory
-from marigoldswitch.gateway.ports import EngineGone, EngineMute, EngineStatus
+from marigoldswitch.gateway.ports import EngineGone, EngineStatus, EngineWithoutReport
 from marigoldswitch.gateway.probing import EngineProbes
 from marigoldswitch.tests.helpers import run_virtually
 
@@ -67,9 +67,9 @@
         if address in self.gone:
             return EngineGone()
         if address in self.without_report:
-            return EngineMute()
+            return EngineWithoutReport()
         if address in self.reused:
-            return EngineMute(has_reports=False)
+            return EngineWithoutReport(has_reports=False)
         queued = max(0.0, self.congested_until - self.clock.monotonic())
         place = sorted(self.directory.registry.rows).index(TargetId(address))
         answered = (
--- a/marigoldswitch/tests/test_reports.py
+++ b/marigoldswitch/tests/test_reports.py
@@ -7,7 +7,7 @@
 from aiohttp.test_utils import TestServer
 
 from marigoldswitch.gateway.connections import Connections
-from marigoldswitch.gateway.ports import EngineGone, EngineMute, EngineStatus
+from marigoldswitch.gateway.ports import EngineGone, EngineStatus, EngineWithoutReport
 from marigoldswitch.platform.engines import EngineClient
 
 
@@ -43,14 +43,14 @@
 
 @pytest.mark.parametrize("handler", [refuse, answer_other_text])
 def test_answer_without_a_report_counts_as_alive(handler):
-    assert asyncio.run(read(handler)) == EngineMute()
+    assert asyncio.run(read(handler)) == EngineWithoutReport()
 
 
 def test_status_404_means_no_reports():
     async def miss(http):
         return web.Response(status=404)
 
-    assert asyncio.run(read(miss)) == EngineMute(has_reports=False)
+    assert asyncio.run(read(miss)) == EngineWithoutReport(has_reports=False)
 
 
 def test_report_is_read():
--- a/marigoldswitch/tests/test_spread.py
+++ b/marigoldswitch/tests/test_spread.py
@@ -43,7 +43,7 @@
             directory=self.directory,
             loads=self.loads,
             planner=SimpleNamespace(slowness={}),
-            probes=SimpleNamespace(check_later=self.checked.append),
+            probes=SimpleNamespace(check_in_background=self.checked.append),
             crashes=SimpleNamespace(checksum=0, send_pending_notes=lambda: None),
             feeds=None,
             configuration=feed,
