--- a/marigoldswitch/tests/test_bundles.py
+++ b/marigoldswitch/tests/test_bundles.py
@@ -9,7 +9,7 @@
 
 from marigoldswitch.bundles import parse_bundle
 from marigoldswitch.core.catalogue import LayerRange, ServiceKind
-from marigoldswitch.core.chains import count_chains, find_gap
+from marigoldswitch.core.chains import count_chains, find_uncovered_layer
 from marigoldswitch.documents import MAX_BYTES, read_document, write_document
 from marigoldswitch.settings import parse_settings
 from marigoldswitch.tests.fakes import build_content
@@ -191,4 +191,4 @@
                     yield (item, *chain)
 
     assert count_chains(ranges, 6) == count_most_chains(pairs)
-    assert (find_gap(ranges, 6) is None) == (count_chains(ranges, 6) > 0)
+    assert (find_uncovered_layer(ranges, 6) is None) == (count_chains(ranges, 6) > 0)
--- a/marigoldswitch/tests/test_claim_protocol.py
+++ b/marigoldswitch/tests/test_claim_protocol.py
@@ -20,13 +20,13 @@
 )
 
 from marigoldswitch.core.claim_protocol import (
-    Ended,
-    Free,
-    Held,
-    Met,
-    Question,
+    FinishedClaim,
+    HeldClaim,
+    OpenClaim,
+    OwnerQuery,
+    OwnerReply,
     Read,
-    Told,
+    VacantRow,
     Wait,
     Write,
     finish_claim,
@@ -41,7 +41,7 @@
     encode_claim,
 )
 from marigoldswitch.core.errors import ErrorKind, Fault
-from marigoldswitch.core.ledger import InvariantBroken
+from marigoldswitch.core.ledger import InvariantViolation
 from marigoldswitch.core.own_claims import OwnClaims
 from marigoldswitch.core.ports import Put, Row, StoreFault
 
@@ -80,8 +80,8 @@
     nonce: str
     steps: object = None
     effect: object = None
-    free: Free | None = None
-    held: Held | None = None
+    free: VacantRow | None = None
+    held: HeldClaim | None = None
     end: object = None
     run_count: int = 0
     finished: bool = False
@@ -166,18 +166,18 @@
     def handle_result(self, submission, result):
         host = submission.host
         match result:
-            case Held():
+            case HeldClaim():
                 submission.held = result
-            case Met():
+            case OpenClaim():
                 claim = self.build_claim(host)
                 submission.steps = follow_claim(
                     result, claim, lambda: self.now, self.now + DEADLINE, 3.0
                 )
                 self.resume(submission, None)
-            case Free():
+            case VacantRow():
                 submission.free = result
                 self.take(submission)
-            case Ended(claim=claim):
+            case FinishedClaim(claim=claim):
                 self.close(submission, claim.answer)
             case Fault():
                 self.close(submission, result)
@@ -189,7 +189,7 @@
     def tell(self, owner, nonce):
         if owner in self.paused:
             return None
-        return Told(*self.hosts[owner].own.tell(nonce))
+        return OwnerReply(*self.hosts[owner].own.get_state(nonce))
 
     def perform(self, holder, delivery):
         """Perform an effect; return its result and, if delayed, the write to apply."""
@@ -205,9 +205,9 @@
                 return StoreFault.UNAVAILABLE, None
             case Read(row=row), _:
                 return self.table.rows.get(row), None
-            case Question(owner=owner, nonce=nonce), "done":
+            case OwnerQuery(owner=owner, nonce=nonce), "done":
                 return self.tell(owner, nonce), None
-            case Question(), _:
+            case OwnerQuery(), _:
                 return None, None
             case Wait(seconds=seconds), _:
                 self.now += max(1.0, seconds)
@@ -247,29 +247,29 @@
         submission = pick(number, self.list_holding())
         held, host = submission.held, submission.host
         if end != "cancel":
-            host.own.send(held.claim.nonce)
+            host.own.mark_sent(held.claim.nonce)
         match end:
             case "answer":
                 self.runs += 1
                 submission.run_count += 1
                 answer = f"answer of {held.claim.nonce}".encode()
-                host.own.end(held.claim.nonce, answer)
-                self.finish(host, held, held.claim.finish(answer, stored=False))
+                host.own.mark_ended(held.claim.nonce, answer)
+                self.finish(host, held, held.claim.as_done(answer, stored=False))
                 self.close(submission, answer)
             case "not_run":
-                host.own.retract(held.claim.nonce)
-                host.own.forfeit(held.claim.nonce)
-                self.finish(host, held, held.claim.forfeit())
+                host.own.mark_not_run(held.claim.nonce)
+                host.own.mark_forfeited(held.claim.nonce)
+                self.finish(host, held, held.claim.as_forfeited())
                 self.close(submission, Fault(ErrorKind.NOT_DELIVERED))
             case "cancel":
-                host.own.forfeit(held.claim.nonce)
-                self.finish(host, held, held.claim.forfeit())
+                host.own.mark_forfeited(held.claim.nonce)
+                self.finish(host, held, held.claim.as_forfeited())
                 self.close(submission, Fault(ErrorKind.CANCELLED_IN_QUEUE))
             case "unknown":
                 self.runs += ran
                 submission.run_count += ran
                 host.own.forget(held.claim.nonce)
-                self.finish(host, held, held.claim.give_up())
+                self.finish(host, held, held.claim.as_unknown())
                 self.close(submission, Fault(ErrorKind.TARGET_LOST))
 
     def finish(self, host, held, ended, version=-1):
@@ -293,8 +293,8 @@
         submission = pick(number, self.list_given_up())
         host = submission.host
         claim = self.build_claim(host, submission.nonce)
-        held = Held(ROW, claim, 0)
-        self.finish(host, held, claim.forfeit(), version=None)
+        held = HeldClaim(ROW, claim, 0)
+        self.finish(host, held, claim.as_forfeited(), version=None)
 
     @precondition(lambda self: self.finishers)
     @rule(number=INDICES, deliveries=DELIVERIES)
@@ -371,7 +371,7 @@
                     reply = StoreFault.UNKNOWN if fault == "lost" else reply
             case Read(row=row):
                 reply = table.rows.get(row)
-            case Question(owner=owner, nonce=nonce):
+            case OwnerQuery(owner=owner, nonce=nonce):
                 reply = peers[owner](nonce) if peers else None
             case Wait(seconds=seconds):
                 clock[0] += seconds
@@ -388,7 +388,7 @@
     taken = run_to_end(
         take_claim(own, ROW, build_held_claim("a", "n")), table, own, faults=faults
     )
-    assert isinstance(taken, Held)
+    assert isinstance(taken, HeldClaim)
     assert decode_claim(table.rows[ROW].value).nonce == "n"
 
 
@@ -397,20 +397,20 @@
     steps = take_claim(own, ROW, build_held_claim("a", "n"))
     taken = run_to_end(steps, table, own, faults=["late"] * 9)
     assert taken.kind is ErrorKind.CLAIMS_UNAVAILABLE
-    with pytest.raises(InvariantBroken):
-        own.send("n")
+    with pytest.raises(InvariantViolation):
+        own.mark_sent("n")
     held = build_held_claim("a", "n")
-    late = Held(ROW, held, 1)
+    late = HeldClaim(ROW, held, 1)
     table.rows[ROW] = Row(encode_claim(held), 1)
     other = OwnClaims()
     met = run_to_end(take_claim(other, ROW, build_held_claim("b", "m")), table, other)
-    assert met == Met(ROW, late.claim, 1)
-    peers = {"a": lambda nonce: Told(*own.tell(nonce))}
+    assert met == OpenClaim(ROW, late.claim, 1)
+    peers = {"a": lambda nonce: OwnerReply(*own.get_state(nonce))}
     steps = follow_claim(met, build_held_claim("b", "m"), lambda: 0.0, 9.0, 3.0)
     free = run_to_end(steps, table, other, peers)
-    assert free == Free("n", 1)
+    assert free == VacantRow("n", 1)
     steps = take_claim(other, ROW, build_held_claim("b", "m"), free)
-    assert isinstance(run_to_end(steps, table, other), Held)
+    assert isinstance(run_to_end(steps, table, other), HeldClaim)
 
 
 def test_unavailable_table_refuses_request_unsent():
@@ -429,7 +429,7 @@
     """
     table, own = FakeTable(), OwnClaims()
     run_to_end(take_claim(own, ROW, build_held_claim("a", "n")), table, own)
-    met = Met(ROW, build_held_claim("a", "n"), 1)
+    met = OpenClaim(ROW, build_held_claim("a", "n"), 1)
     now = iter(range(1000))
     replies = iter(told)
 
@@ -447,22 +447,22 @@
 
 def test_lost_owner_leaves_outcome_unknown():
     assert follow([None]).kind is ErrorKind.OUTCOME_UNKNOWN
-    assert follow([Told(OwnerState.UNKNOWN)]).kind is ErrorKind.OUTCOME_UNKNOWN
+    assert follow([OwnerReply(OwnerState.UNKNOWN)]).kind is ErrorKind.OUTCOME_UNKNOWN
 
 
 def test_running_owner_is_awaited_until_deadline():
-    running = Told(OwnerState.RUNNING)
+    running = OwnerReply(OwnerState.RUNNING)
     assert follow([running]).kind is ErrorKind.DEADLINE_EXCEEDED
-    ended = follow([running, running, Told(OwnerState.ENDED, b"1")])
+    ended = follow([running, running, OwnerReply(OwnerState.ENDED, b"1")])
     assert ended.claim.answer == b"1"
 
 
 def test_end_is_read_from_row_if_owner_has_forgotten_claim():
     def finish(table):
-        ended = build_held_claim("a", "n").finish(b"2", stored=False)
+        ended = build_held_claim("a", "n").as_done(b"2", stored=False)
         run_to_end(finish_claim(ROW, ended, 1), table, None)
 
-    ended = follow([Told(OwnerState.UNKNOWN)], finish)
+    ended = follow([OwnerReply(OwnerState.UNKNOWN)], finish)
     assert ended.claim.answer == b"2"
 
 
@@ -478,12 +478,12 @@
 def test_sent_under_a_held_claim_only_and_once():
     own = OwnClaims()
     own.mark_taking(ROW, build_held_claim("a", "n"))
-    with pytest.raises(InvariantBroken):
-        own.send("n")
+    with pytest.raises(InvariantViolation):
+        own.mark_sent("n")
     own.mark_held("n")
-    own.send("n")
-    for forbidden in (own.send, own.forfeit, own.mark_held):
-        with pytest.raises(InvariantBroken):
+    own.mark_sent("n")
+    for forbidden in (own.mark_sent, own.mark_forfeited, own.mark_held):
+        with pytest.raises(InvariantViolation):
             forbidden("n")
 
 
@@ -491,7 +491,7 @@
 def test_end_of_a_claim_never_replaces_one_that_took_over(version):
     table, own = FakeTable(), OwnClaims()
     table.rows[ROW] = Row(encode_claim(build_held_claim("b", "m")), 2)
-    ended = build_held_claim("a", "n").forfeit()
+    ended = build_held_claim("a", "n").as_forfeited()
     assert not run_to_end(finish_claim(ROW, ended, version), table, own)
     assert decode_claim(table.rows[ROW].value).nonce == "m"
 
@@ -499,7 +499,7 @@
 def test_end_is_written_despite_repeated_store_faults():
     table, own = FakeTable(), OwnClaims()
     run_to_end(take_claim(own, ROW, build_held_claim("a", "n")), table, own)
-    ended = build_held_claim("a", "n").finish(b"1", stored=False)
+    ended = build_held_claim("a", "n").as_done(b"1", stored=False)
     faults = ["out", "late", "out", "late", "lost"]
     assert run_to_end(finish_claim(ROW, ended, 1), table, own, faults=faults)
     assert decode_claim(table.rows[ROW].value).state is ClaimState.DONE
--- a/marigoldswitch/tests/test_dispatcher_machine.py
+++ b/marigoldswitch/tests/test_dispatcher_machine.py
@@ -14,10 +14,10 @@
 )
 
 from marigoldswitch.core.dispatcher import (
-    Close,
     Dispatcher,
+    DispatcherStarted,
     HostLost,
-    Rebuild,
+    PoolClosed,
     Send,
     TargetsChanged,
     Tick,
@@ -182,7 +182,7 @@
 
     @rule(front=st.sampled_from(FRONTS))
     def rebuild(self, front):
-        self.feed(Rebuild(frozenset(FRONTS)))
+        self.feed(DispatcherStarted(frozenset(FRONTS)))
         self.foreign += 1
         held = HeldPermit(f"foreign-{self.foreign}", f"f{self.foreign}", ("a",))
         message = Holdings(BOOKINGS.name, HOBART, front, (held,), ())
@@ -192,7 +192,7 @@
 
     @rule()
     def close(self):
-        self.feed(Close())
+        self.feed(PoolClosed())
         assert not self.open
 
     @invariant()
--- a/marigoldswitch/tests/test_fronts.py
+++ b/marigoldswitch/tests/test_fronts.py
@@ -23,7 +23,7 @@
 from marigoldswitch.core.ledger import StageToken
 from marigoldswitch.core.messages import Grant, Message
 from marigoldswitch.core.ports import Row, StoreFault
-from marigoldswitch.core.requests import Answer, End, Request
+from marigoldswitch.core.requests import Answer, AnswerEnd, Request
 from marigoldswitch.fronts import Front
 from marigoldswitch.members import Member
 from marigoldswitch.metrics import Metrics
@@ -237,7 +237,7 @@
         return await asyncio.gather(self.task, return_exceptions=True)
 
     def check(self, result):
-        ends = [item for item in self.events if isinstance(item, End | Fault)]
+        ends = [item for item in self.events if isinstance(item, AnswerEnd | Fault)]
         gone = isinstance(result, asyncio.CancelledError | CallerGone)
         assert result is None or gone
         assert len(ends) == 1 or (gone and not ends)
@@ -250,7 +250,7 @@
             assert self.targets.ran <= 1
         if ends and isinstance(ends[0], Fault) and ends[0].not_run:
             assert self.targets.ran == 0
-        if ends and isinstance(ends[0], End):
+        if ends and isinstance(ends[0], AnswerEnd):
             assert self.targets.ran >= 1
 
 
@@ -290,4 +290,4 @@
 
     avoided, events = asyncio.run(run())
     assert avoided == [(), ("new",)]
-    assert isinstance(events[-1], End)
+    assert isinstance(events[-1], AnswerEnd)
--- a/marigoldswitch/tests/test_ledger.py
+++ b/marigoldswitch/tests/test_ledger.py
@@ -7,10 +7,10 @@
 from marigoldswitch.core.ids import Epoch
 from marigoldswitch.core.ledger import (
     REORDER_WINDOW,
-    InvariantBroken,
-    Ledger,
+    InvariantViolation,
     StageToken,
-    covers,
+    TokenSequencer,
+    covers_in_order,
 )
 
 WHOLE = (LayerRange(0, 4), LayerRange(4, 12))
@@ -31,52 +31,52 @@
     ],
 )
 def test_wrong_layers_violate_invariant(layers):
-    ledger = Ledger(12)
+    ledger = TokenSequencer(12)
     ledger.open_epoch()
-    with pytest.raises(InvariantBroken):
-        ledger.admit(build_token(1, 0, layers))
+    with pytest.raises(InvariantViolation):
+        ledger.accept(build_token(1, 0, layers))
     assert ledger.delivered == []
 
 
 def test_token_after_a_gap_waits_for_the_missing_one():
-    ledger = Ledger(12)
+    ledger = TokenSequencer(12)
     ledger.open_epoch()
     for early in (2, 1, 2, 4):
-        assert ledger.admit(build_token(1, early)) == []
+        assert ledger.accept(build_token(1, early)) == []
     assert ledger.delivered == []
-    ready = ledger.admit(build_token(1, 0))
+    ready = ledger.accept(build_token(1, 0))
     assert [token.position for token in ready] == [0, 1, 2]
     assert ledger.delivered == ["t0", "t1", "t2"]
-    assert ledger.admit(build_token(1, 2)) == []
+    assert ledger.accept(build_token(1, 2)) == []
 
 
 def test_lost_token_is_detected_and_new_epoch_starts_clean():
-    ledger = Ledger(12)
+    ledger = TokenSequencer(12)
     ledger.open_epoch()
     for position in range(1, REORDER_WINDOW + 3):
-        assert ledger.admit(build_token(1, position)) == []
-    assert ledger.is_stuck
+        assert ledger.accept(build_token(1, position)) == []
+    assert ledger.has_lost_token
     ledger.open_epoch()
-    assert not ledger.is_stuck
-    assert len(ledger.admit(build_token(2, 0))) == 1
+    assert not ledger.has_lost_token
+    assert len(ledger.accept(build_token(2, 0))) == 1
 
 
 def test_early_token_with_wrong_layers_violates_invariant():
-    ledger = Ledger(12)
+    ledger = TokenSequencer(12)
     ledger.open_epoch()
-    with pytest.raises(InvariantBroken):
-        ledger.admit(build_token(1, 3, WHOLE[:1]))
+    with pytest.raises(InvariantViolation):
+        ledger.accept(build_token(1, 3, WHOLE[:1]))
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(0, 5)), max_size=40))
 def test_delivered_tokens_are_consecutive_without_repeats(tokens):
-    ledger = Ledger(12)
+    ledger = TokenSequencer(12)
     ledger.open_epoch()
     sent = []
     for epoch, position in tokens:
         while ledger.epoch < epoch:
             ledger.open_epoch()
-        sent += ledger.admit(build_token(epoch, position))
+        sent += ledger.accept(build_token(epoch, position))
     assert [token.position for token in sent] == list(range(len(sent)))
     assert ledger.delivered == [f"t{n}" for n in range(len(ledger.delivered))]
 
@@ -85,5 +85,5 @@
 def test_any_cuts_of_the_layers_cover_them(cuts):
     bounds = [0, *sorted(cuts), 12]
     ranges = [LayerRange(*pair) for pair in zip(bounds, bounds[1:], strict=False)]
-    assert covers(ranges, 12)
-    assert not covers(ranges[1:], 12)
+    assert covers_in_order(ranges, 12)
+    assert not covers_in_order(ranges[1:], 12)
--- a/marigoldswitch/tests/test_lifecycle.py
+++ b/marigoldswitch/tests/test_lifecycle.py
@@ -5,8 +5,8 @@
 
 from marigoldswitch.core.errors import ErrorKind, Fault
 from marigoldswitch.core.ids import RequestId
-from marigoldswitch.core.ledger import InvariantBroken
-from marigoldswitch.core.lifecycle import Lifecycle, Stage
+from marigoldswitch.core.ledger import InvariantViolation
+from marigoldswitch.core.lifecycle import Lifecycle, RequestStage
 
 TRIGGERS = ["queue", "permit", "claim", "dispatch", "stream", "answer"]
 
@@ -22,20 +22,20 @@
 def test_answer_is_an_end():
     life = dispatch()
     life.advance("answer")
-    assert life.stage is Stage.ANSWERED
-    with pytest.raises(InvariantBroken):
-        life.end_with(Fault(ErrorKind.CANCELLED))
+    assert life.stage is RequestStage.ANSWERED
+    with pytest.raises(InvariantViolation):
+        life.end_with_fault(Fault(ErrorKind.CANCELLED))
 
 
 def test_delivered_request_is_never_reported_as_not_run():
     life = dispatch()
-    with pytest.raises(InvariantBroken):
-        life.end_with(Fault(ErrorKind.SATURATED))
+    with pytest.raises(InvariantViolation):
+        life.end_with_fault(Fault(ErrorKind.SATURATED))
 
 
 def test_non_idempotent_request_is_delivered_once():
     life = dispatch(idempotent=False)
-    with pytest.raises(InvariantBroken):
+    with pytest.raises(InvariantViolation):
         life.note_delivery()
 
 
@@ -47,7 +47,7 @@
         ended = life.ended
         try:
             life.advance(trigger)
-        except InvariantBroken:
+        except InvariantViolation:
             continue
         assert not ended
         ends += life.ended
--- a/marigoldswitch/tests/test_limits.py
+++ b/marigoldswitch/tests/test_limits.py
@@ -89,9 +89,9 @@
 
 def test_reports_reach_the_limit():
     state = build_state("a", slots=8)
-    state.learn(TargetReport("a", -1.0, refused=True), 0.0)
+    state.update_limit(TargetReport("a", -1.0, refused=True), 0.0)
     assert state.limit == pytest.approx(6.4)
-    state.learn(TargetReport("a", -1.0, failed=True), 0.0)
+    state.update_limit(TargetReport("a", -1.0, failed=True), 0.0)
     assert state.limit == pytest.approx(3.2)
 
 
--- a/marigoldswitch/tests/test_pool.py
+++ b/marigoldswitch/tests/test_pool.py
@@ -4,7 +4,7 @@
 from hypothesis import given, strategies as st
 
 from marigoldswitch.core.catalogue import Load
-from marigoldswitch.core.ledger import covers
+from marigoldswitch.core.ledger import covers_in_order
 from marigoldswitch.core.messages import TargetReport
 from marigoldswitch.core.outliers import FIRST_EJECTION_SECONDS, Health
 from marigoldswitch.core.pool import UNLISTED_SECONDS, TargetPool
@@ -187,7 +187,7 @@
     pool = build_pool("a", "b")
     pool.hold(["a", "a"])
     pool.take_report(TargetReport("a", 0.1, load=Load(3, 0)), 0.0)
-    assert pool.states["a"].foreign == 0.0
+    assert pool.states["a"].external_requests == 0.0
     pool.take_report(TargetReport("b", 0.1, load=Load(8, 4)), 0.0)
     assert pool.choose(build_ask("r"), 0.0).targets == ("a",)
 
@@ -238,7 +238,9 @@
     assert (found is None) == (whole is None)
     if found is not None:
         assert found.cost == pytest.approx(whole.cost)
-        assert covers([pool.states[n].target.layers for n in found.targets], 12)
+        assert covers_in_order(
+            [pool.states[n].target.layers for n in found.targets], 12
+        )
 
 
 def test_a_target_that_refuses_is_asked_again_soon_and_fully_used_at_once():
--- a/marigoldswitch/tests/test_queueing.py
+++ b/marigoldswitch/tests/test_queueing.py
@@ -8,7 +8,7 @@
 
 from marigoldswitch.core import queueing
 from marigoldswitch.core.catalogue import Priority
-from marigoldswitch.core.ledger import InvariantBroken
+from marigoldswitch.core.ledger import InvariantViolation
 from marigoldswitch.core.pace import Pace
 from marigoldswitch.core.queueing import FairQueue, WaitingRequest
 from marigoldswitch.tests.helpers import build_ask
@@ -148,7 +148,7 @@
     @rule(data=st.data())
     def push_again(self, data):
         item = self.model[data.draw(st.sampled_from(sorted(self.model)))]
-        with pytest.raises(InvariantBroken):
+        with pytest.raises(InvariantViolation):
             self.queue.push(item)
 
     @rule(allow_long=st.booleans())
--- a/marigoldswitch/tests/test_recovery.py
+++ b/marigoldswitch/tests/test_recovery.py
@@ -5,7 +5,7 @@
 
 from marigoldswitch.core.chains import can_serve
 from marigoldswitch.core.diagnosis import StageStatus, find_suspects
-from marigoldswitch.core.progress import MIN_CHECK_SECONDS, Progress
+from marigoldswitch.core.progress import MIN_CHECK_SECONDS, StallDetector
 from marigoldswitch.tests.helpers import BOOKINGS, DRAFTING, build_target
 
 CHAIN = ["a", "b", "c"]
@@ -48,14 +48,14 @@
 
 @given(st.floats(0.001, 0.4), st.integers(2, 50))
 def test_stall_timeout_follows_mean_gap_within_bounds(gap, tokens):
-    progress = Progress(
+    progress = StallDetector(
         first_token_timeout=5.0, stall_factor=10.0, min_stall_timeout=0.5
     )
-    assert progress.patience == progress.doubt == 5.0
+    assert progress.stall_timeout == progress.check_timeout == 5.0
     for number in range(tokens):
-        progress.note(number * gap, 1)
+        progress.note_tokens(number * gap, 1)
     assert progress.mean_gap == pytest.approx(gap)
-    assert progress.patience == pytest.approx(min(5.0, max(0.5, 10.0 * gap)))
-    assert MIN_CHECK_SECONDS <= progress.doubt <= progress.patience
-    progress.begin()
-    assert progress.patience == 5.0
+    assert progress.stall_timeout == pytest.approx(min(5.0, max(0.5, 10.0 * gap)))
+    assert MIN_CHECK_SECONDS <= progress.check_timeout <= progress.stall_timeout
+    progress.start_chain()
+    assert progress.stall_timeout == 5.0
--- a/marigoldswitch/tests/test_routing.py
+++ b/marigoldswitch/tests/test_routing.py
@@ -3,7 +3,7 @@
 from hypothesis import given, strategies as st
 
 from marigoldswitch.core.catalogue import LayerRange
-from marigoldswitch.core.ledger import covers
+from marigoldswitch.core.ledger import covers_in_order
 from marigoldswitch.core.routing import choose_route
 from marigoldswitch.tests.helpers import BOOKINGS, DRAFTING, HOBART, build_state
 
@@ -50,7 +50,7 @@
     if route is None:
         assert not has_chain([s.target.layers for s in states if s.has_room])
         return
-    assert covers([by_name[name].target.layers for name in route.targets], 12)
+    assert covers_in_order([by_name[name].target.layers for name in route.targets], 12)
     assert all(by_name[name].has_room for name in route.targets)
 
 
