--- a/marigoldswitch/tests/test_membership.py
+++ b/marigoldswitch/tests/test_membership.py
@@ -23,15 +23,15 @@
 from marigoldswitch.core.ids import BundleVersion, HostId, Incarnation, TargetId
 from marigoldswitch.core.leaving import MARK_TTL_SECONDS, LeavingMarks
 from marigoldswitch.core.member_events import (
-    Changed,
-    Heard,
-    Introduce,
-    Introduced,
+    DatagramReceived,
+    HostListRead,
     Leave,
-    Listed,
+    MemberChanged,
     NameTaken,
     OwnBundle,
     SendDatagram,
+    SendTable,
+    TableReceived,
     Tick,
 )
 from marigoldswitch.core.membership import Membership
@@ -75,7 +75,7 @@
     network = build_network(loss=0.1)
     first = network.hosts[HostId("host-000")].own
     for host in network.hosts.values():
-        host.handle(Introduced((first,)), 0.0)
+        host.handle(TableReceived((first,)), 0.0)
     network.run(20.0)
     digests = {host.digest for host in network.hosts.values()}
     assert len(digests) == 1
@@ -95,7 +95,7 @@
     network.hosts[own.host] = restarted
     network.down.clear()
     seed = network.hosts[HostId("host-000")]
-    network.carry(seed.own.host, seed.handle(Introduced((own,)), network.now))
+    network.carry(seed.own.host, seed.handle(TableReceived((own,)), network.now))
     network.run(30.0)
     assert list_statuses(network, "host-003") == {Status.ALIVE}
     assert {
@@ -152,23 +152,23 @@
 
 def test_wrong_record_of_own_host_is_refuted_once():
     host = build_host()
-    host.handle(Introduced((build_record("host-2"),)), 1.0)
+    host.handle(TableReceived((build_record("host-2"),)), 1.0)
     suspect = replace(host.own, status=Status.SUSPECT, suspected_by=HostId("host-2"))
     sender = Sender(HostId("host-2"), 1, Incarnation(1))
     push = Push(sender, host.own.host, (suspect,))
-    actions = host.handle(Heard(push, "10.0.0.2:2"), 1.0)
+    actions = host.handle(DatagramReceived(push, "10.0.0.2:2"), 1.0)
     assert host.own.incarnation == 6
     (sent,) = [item for item in actions if isinstance(item, SendDatagram)]
     assert host.own in sent.datagram.deltas
     for _ in range(3):
-        host.handle(Heard(push, "10.0.0.2:2"), 2.0)
+        host.handle(DatagramReceived(push, "10.0.0.2:2"), 2.0)
     assert host.own.incarnation == 6
 
 
 def test_repeated_old_datagrams_change_nothing():
     host = build_host()
     old = build_record("host-2", incarnation=3)
-    host.handle(Introduced((build_record("host-2", incarnation=9, bundle=4),)), 1.0)
+    host.handle(TableReceived((build_record("host-2", incarnation=9, bundle=4),)), 1.0)
     before = dict(host.table)
     sender = Sender(HostId("host-3"), 1, Incarnation(1))
     for record in (old, replace(old, status=Status.DEAD), replace(old, run=8)):
@@ -176,33 +176,41 @@
             Push(sender, host.own.host, (record,)),
             Ack(sender, host.own.host, 7, HostId("host-2"), 0, (record,)),
         ):
-            host.handle(Heard(datagram, "10.0.0.3:2"), 2.0)
+            host.handle(DatagramReceived(datagram, "10.0.0.3:2"), 2.0)
     assert host.table == before
 
 
 def test_wrong_addresses_and_duplicate_names_are_dropped_and_counted():
     host = build_host()
     stranger = Sender(HostId("host-9"), 1, Incarnation(1))
-    assert host.handle(Heard(Ping(stranger, HostId("host-4"), 1, 0), "a:1"), 1.0) == []
+    assert (
+        host.handle(
+            DatagramReceived(Ping(stranger, HostId("host-4"), 1, 0), "a:1"), 1.0
+        )
+        == []
+    )
     duplicate = Sender(HostId("host-1"), 12, Incarnation(9))
-    assert host.handle(Heard(Ping(duplicate, host.own.host, 1, 0), "a:1"), 1.0) == []
+    assert (
+        host.handle(DatagramReceived(Ping(duplicate, host.own.host, 1, 0), "a:1"), 1.0)
+        == []
+    )
     assert host.counts["wrong_address"] == 1
     assert host.counts["duplicate_name"] == 1
     later = build_record("host-1", run=12, incarnation=9)
-    actions = host.handle(Introduced((later,)), 100.0)
+    actions = host.handle(TableReceived((later,)), 100.0)
     assert actions == [NameTaken(later)]
     assert host.own.incarnation == 5
 
 
 def test_name_of_an_earlier_process_is_taken_over_at_the_start():
     host = build_host()
-    host.handle(Introduced((build_record("host-1", run=3, incarnation=70),)), 1.0)
+    host.handle(TableReceived((build_record("host-1", run=3, incarnation=70),)), 1.0)
     assert host.own.incarnation == 71
 
 
 def test_own_pause_makes_no_host_suspect():
     host = build_host()
-    host.handle(Introduced((build_record("host-2"), build_record("host-3"))), 0.0)
+    host.handle(TableReceived((build_record("host-2"), build_record("host-3"))), 0.0)
     for tenth in range(8):
         host.handle(Tick(), tenth / 10)
     for _ in range(2):
@@ -213,18 +221,18 @@
 
 def test_host_list_makes_no_host_live_but_is_used_to_join():
     host = build_host()
-    actions = host.handle(Listed((HostId("host-1"), HostId("host-2"))), 1.0)
-    assert actions == [Introduce(HostId("host-2"), wants_reply=True)]
+    actions = host.handle(HostListRead((HostId("host-1"), HostId("host-2"))), 1.0)
+    assert actions == [SendTable(HostId("host-2"), wants_reply=True)]
     assert host.table == {}
-    (changed, *_) = host.handle(Introduced((build_record("host-2"),)), 1.0)
-    assert isinstance(changed, Changed)
-    assert host.handle(Listed((HostId("host-2"),)), 2.0) == []
+    (changed, *_) = host.handle(TableReceived((build_record("host-2"),)), 1.0)
+    assert isinstance(changed, MemberChanged)
+    assert host.handle(HostListRead((HostId("host-2"),)), 2.0) == []
 
 
 def test_datagrams_stay_within_size_limit_and_round_trip():
     host = Membership(build_record("host-1"), Random(1), 0.5, 0.0)
     everyone = tuple(build_record(f"host-{n}", run=2**32 - 1) for n in range(2, 200))
-    actions = host.handle(Introduced(everyone), 0.0)
+    actions = host.handle(TableReceived(everyone), 0.0)
     for tenth in range(1, 41):
         actions += host.handle(Tick(), tenth / 10)
     sent = [item.datagram for item in actions if isinstance(item, SendDatagram)]
@@ -250,34 +258,34 @@
 
 def test_target_is_leaving_until_every_source_withdraws_its_mark():
     marks = LeavingMarks(1000.0)
-    marks.take_host_list([ENGINE], [], 0.0)
-    marks.take_answer(ENGINE, 1.0)
-    marks.take_order(ENGINE, True, 2.0)
-    marks.take_host_list([], [ENGINE], 3.0)
+    marks.apply_host_list([ENGINE], [], 0.0)
+    marks.record_leaving_answer(ENGINE, 1.0)
+    marks.apply_order(ENGINE, True, 2.0)
+    marks.apply_host_list([], [ENGINE], 3.0)
     assert marks.list_leaving(3.0) == {ENGINE}
-    marks.take_order(ENGINE, False, 4.0)
+    marks.apply_order(ENGINE, False, 4.0)
     assert marks.list_leaving(4.0) == {ENGINE}
-    assert marks.list_answered(4.0) == [ENGINE]
-    marks.take_state(ENGINE, 5.0)
+    assert marks.list_leaving_by_answer(4.0) == [ENGINE]
+    marks.record_staying_answer(ENGINE, 5.0)
     assert marks.list_leaving(5.0) == frozenset()
 
 
 def test_lagging_host_list_does_not_withdraw_an_answer():
     marks = LeavingMarks(1000.0)
-    marks.take_answer(ENGINE, 1.0)
-    assert marks.take_host_list([], [ENGINE], 2.0) == []
+    marks.record_leaving_answer(ENGINE, 1.0)
+    assert marks.apply_host_list([], [ENGINE], 2.0) == []
     assert marks.list_leaving(2.0) == {ENGINE}
     assert marks.list_leaving(1.0 + MARK_TTL_SECONDS[MarkSource.ANSWER]) == frozenset()
 
 
 def test_concurrent_marks_converge_on_both_hosts():
     one, two = LeavingMarks(1000.0), LeavingMarks(1000.0)
-    drained = one.take_order(ENGINE, True, 0.0)
-    withdrawn = two.take_order(ENGINE, False, 0.0)
+    drained = one.apply_order(ENGINE, True, 0.0)
+    withdrawn = two.apply_order(ENGINE, False, 0.0)
     assert one.merge(withdrawn, 0.1) == []
     assert two.merge(drained, 0.1) == drained
     assert one.list_leaving(0.2) == two.list_leaving(0.2) == {ENGINE}
     late = TargetMark(ENGINE, MarkSource.ORDER, 1, False, 1e9)
     assert one.merge([late], 0.3) == []
-    assert two.merge(one.take_order(ENGINE, False, 0.4), 0.4) != []
+    assert two.merge(one.apply_order(ENGINE, False, 0.4), 0.4) != []
     assert one.list_leaving(0.5) == two.list_leaving(0.5) == frozenset()
--- a/marigoldswitch/tests/test_placement.py
+++ b/marigoldswitch/tests/test_placement.py
@@ -586,14 +586,14 @@
 
 def test_drains_become_marks_once_and_are_taken_back():
     marks, other = LeavingMarks(0.0), LeavingMarks(0.0)
-    first = marks.take_drains(frozenset({"e0"}), 1.0)
+    first = marks.apply_drains(frozenset({"e0"}), 1.0)
     assert [(mark.target, mark.leaving) for mark in first] == [("e0", True)]
     other.merge(first, 1.0)
-    assert marks.take_drains(frozenset({"e0"}), 2.0) == []
-    assert other.take_drains(frozenset({"e0"}), 2.0) == [], "heard of by gossip"
+    assert marks.apply_drains(frozenset({"e0"}), 2.0) == []
+    assert other.apply_drains(frozenset({"e0"}), 2.0) == [], "heard of by gossip"
     assert marks.list_leaving(7200.0) == {"e0"}, "it outlasts an outage"
-    back = marks.take_drains(frozenset(), 7201.0)
+    back = marks.apply_drains(frozenset(), 7201.0)
     assert [mark.leaving for mark in back] == [False]
     other.merge(back, 7201.0)
     assert not other.list_leaving(7201.0)
-    assert other.take_drains(frozenset(), 7202.0) == []
+    assert other.apply_drains(frozenset(), 7202.0) == []
