--- a/marigoldswitch/tests/test_dispatcher_machine.py
+++ b/marigoldswitch/tests/test_dispatcher_machine.py
@@ -209,7 +209,7 @@
         for name, state in self.dispatcher.pool.states.items():
             assert state.held == held[name]
         long = sum(item.long for item in self.dispatcher.permits.values())
-        assert self.dispatcher.occupancy.long == long
+        assert self.dispatcher.occupancy.long_count == long
         cost = sum(item.cost for item in self.dispatcher.permits.values())
         assert self.dispatcher.occupancy.cost == pytest.approx(cost, abs=1e-6)
 
--- a/marigoldswitch/tests/test_pool.py
+++ b/marigoldswitch/tests/test_pool.py
@@ -165,7 +165,7 @@
 def test_an_implausible_list_does_not_empty_the_pool(names):
     pool = build_pool("a", "b", "c", "d")
     pool.apply_host_list(names)
-    assert pool.distrusts_list
+    assert pool.ignores_host_list
     assert set(count_room(pool, 1000.0)) == set("abcd")
 
 
--- a/marigoldswitch/tests/test_queueing.py
+++ b/marigoldswitch/tests/test_queueing.py
@@ -195,7 +195,7 @@
         assert tails <= set(self.model)
         for key in tails:
             assert self.queue.estimate_tail(self.model[key], pace) >= 0.0
-            assert self.queue.find_before(self.model[key]) is self.model[key]
+            assert self.queue.find_last(self.model[key]) is self.model[key]
 
     def teardown(self):
         drain(self.queue, 10_000)
