--- a/marigoldswitch/core/bounds.py
+++ b/marigoldswitch/core/bounds.py
@@ -28,7 +28,7 @@
     rate: float
 
 
-def bound_load(
+def compute_load_bound(
     model: ModelSpec,
     engines: Sequence[Accelerator],
     prompt_tokens: float,
--- a/marigoldswitch/tests/test_bounds.py
+++ b/marigoldswitch/tests/test_bounds.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from marigoldswitch.core.bounds import bound_load
+from marigoldswitch.core.bounds import compute_load_bound
 from marigoldswitch.core.ids import DataCentre, TargetId
 from marigoldswitch.core.layer_cover import LayerCover, LayoutEngine
 from marigoldswitch.core.layouts import plan_layout
@@ -26,20 +26,20 @@
     for engine in engines:
         if engine.target in layout:
             cover.assign(engine, layout[engine.target])
-    load = bound_load(MODEL, [KINDS[kind] for kind in kinds], 774.0, 210.0)
+    load = compute_load_bound(MODEL, [KINDS[kind] for kind in kinds], 774.0, 210.0)
     assert min(cover.capacities) <= load.tokens + 1.0
 
 
 def test_bound_of_a_data_centre_by_hand():
     # 288,000 MB over 80 layers: 3,600 MB each, of which weights take 1,750 MB.
     engines = ["large"] + 6 * ["quick"] + 6 * ["small"]
-    load = bound_load(MODEL, [KINDS[kind] for kind in engines], 774.0, 210.0)
+    load = compute_load_bound(MODEL, [KINDS[kind] for kind in engines], 774.0, 210.0)
     assert load.tokens == pytest.approx((3600 - 1750) / 0.02295)
     assert load.rate == pytest.approx(load.tokens / 984.0 / load.seconds)
 
 
 def test_engines_that_hold_no_model_carry_nothing():
-    assert bound_load(MODEL, [KINDS["large"]], 774.0, 210.0).rate == 0.0
+    assert compute_load_bound(MODEL, [KINDS["large"]], 774.0, 210.0).rate == 0.0
 
 
 def test_tool_shows_each_data_centre_and_names_what_it_leaves_out(tmp_path):
--- a/marigoldswitch/tests/test_ownership.py
+++ b/marigoldswitch/tests/test_ownership.py
@@ -8,7 +8,7 @@
 from marigoldswitch.core.errors import ErrorKind
 from marigoldswitch.core.messages import Deny
 from marigoldswitch.core.ownership import PoolKey, Topology, assign_home_pools
-from marigoldswitch.core.shares import split_targets
+from marigoldswitch.core.shares import split_slots
 from marigoldswitch.core.spill import SpillPlan, plan_spill
 from marigoldswitch.tests.helpers import BOOKINGS, DRAFTING, build_target
 
@@ -108,7 +108,7 @@
     targets = [build_target(f"t{n}", slots=size) for n, size in enumerate(slots)]
     total = dict.fromkeys((target.id for target in targets), 0)
     for host in hosts:
-        for part in split_targets(targets, hosts, host):
+        for part in split_slots(targets, hosts, host):
             assert part.slots > 0
             total[part.id] += part.slots
     assert list(total.values()) == slots
--- a/marigoldswitch/tests/test_quotas.py
+++ b/marigoldswitch/tests/test_quotas.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from marigoldswitch.core.catalogue import Account, Priority
-from marigoldswitch.core.ownership import choose_keeper
+from marigoldswitch.core.ownership import choose_quota_keeper
 from marigoldswitch.core.quotas import HostQuotas, QuotaKeeper
 from marigoldswitch.tests.helpers import LETTERS_PATH, run_async, run_deployment
 
@@ -55,7 +55,7 @@
             self.waits.append(wait)
 
     def step(self, silent=()):
-        keeper = choose_keeper("a", self.hosts)
+        keeper = choose_quota_keeper("a", self.hosts)
         for name, host in self.hosts.items():
             for draws in host.list_draws({"a": keeper}, self.now).values():
                 for draw in draws:
@@ -120,7 +120,7 @@
     region = Region(8, rate=20.0, burst=40.0)
     region.run(20.0, 100.0)
     before, began = region.admitted, region.now
-    keeper = choose_keeper("a", region.hosts)
+    keeper = choose_quota_keeper("a", region.hosts)
     region.run(60.0, 100.0, silent={keeper})
     seconds = region.now - began
     assert region.admitted - before <= 20.0 * seconds + 40.0 + 8 * 5.0
@@ -174,7 +174,7 @@
 
     @rule(steps=st.integers(1, 100), silent=st.booleans())
     def wait(self, steps, silent):
-        keeper = choose_keeper("a", self.region.hosts)
+        keeper = choose_quota_keeper("a", self.region.hosts)
         for _ in range(steps):
             self.region.step({keeper} if silent else ())
             self.silent = silent
--- a/marigoldswitch/tools/bounds.py
+++ b/marigoldswitch/tools/bounds.py
@@ -13,7 +13,7 @@
 import orjson
 from result import Err, Ok
 
-from marigoldswitch.core.bounds import bound_load
+from marigoldswitch.core.bounds import compute_load_bound
 from marigoldswitch.core.catalogue import Target
 from marigoldswitch.core.ids import DataCentre
 from marigoldswitch.core.models import ModelSpec
@@ -35,7 +35,7 @@
     lines = []
     for centre, engines in sorted(centres.items()):
         accelerators = [model.accelerators[item.accelerator] for item in engines]
-        load = bound_load(model, accelerators, prompt, answer)
+        load = compute_load_bound(model, accelerators, prompt, answer)
         lines.append(
             f"{centre}: {len(engines)} engines, {load.tokens:.0f} tokens in flight,"
             f" {load.seconds:.2f} s a request, {load.rate:.1f} requests/s"
