--- a/marigoldswitch/standins/platform_engines.py
+++ b/marigoldswitch/standins/platform_engines.py
@@ -1,7 +1,7 @@
 """Stand-ins for targets of the users' platform: layered engines and a plain service.
 
 They speak the published protocol and record what they ran, for the checks of tests.
-The engines of an ``EngineSite`` form chains: a chain through a dead engine stalls
+The engines of an ``EngineCluster`` form chains: a chain through a dead engine stalls
 until its path is changed.
 """
 
@@ -41,14 +41,14 @@
     """HTTP server on a port chosen by the kernel that can crash and simulate faults.
 
     :ivar runs: number of runs by attempt id.
-    :ivar heads: headers of each request that reached :meth:`check_head`.
+    :ivar request_headers: headers of each request that reached :meth:`check_head`.
     """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.address = ""
         self.runs: Counter[str] = Counter()
-        self.heads: list[dict[str, str]] = []
+        self.request_headers: list[dict[str, str]] = []
         self.paths: list[str] = []
         self.bodies: list[bytes] = []
         self.alive = False
@@ -118,7 +118,7 @@
 
     def check_head(self, http: web.BaseRequest) -> web.Response | None:
         """Record a request; return a refusal if it is meant for another target."""
-        self.heads.append(dict(http.headers))
+        self.request_headers.append(dict(http.headers))
         self.paths.append(http.raw_path)
         if http.headers.get("Expect-Replica") != self.name:
             return self.refuse(http, 421)
@@ -146,16 +146,16 @@
 
     :ivar statuses: statuses of the next answers; 200 once the list is empty.
     :ivar refusals: number of next requests that are refused as not run.
-    :ivar hangs: number of next requests that run and never get an answer.
-    :ivar cuts: number of next requests that run and lose their answer.
+    :ivar unanswered: number of next requests that run and never get an answer.
+    :ivar lost_answers: number of next requests that run and lose their answer.
     """
 
     def __init__(self, name: str) -> None:
         super().__init__(name)
         self.statuses: list[int] = []
         self.refusals = 0
-        self.hangs = 0
-        self.cuts = 0
+        self.unanswered = 0
+        self.lost_answers = 0
 
     async def handle(self, http: web.BaseRequest) -> web.StreamResponse:
         """Answer one request."""
@@ -170,11 +170,11 @@
         self.runs[http.headers["Attempt-Id"]] += 1
         if body in self.crashing:
             await self.crash(body)
-        if self.hangs:
-            self.hangs -= 1
+        if self.unanswered:
+            self.unanswered -= 1
             await asyncio.sleep(3600)
-        if self.cuts:
-            self.cuts -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             assert http.transport is not None
             http.transport.abort()
         status = self.statuses.pop(0) if self.statuses else 200
@@ -182,7 +182,7 @@
         return web.Response(status=status, headers=self.sign(http), body=answer)
 
 
-class EngineSite:
+class EngineCluster:
     """Engines of one model, which can reach each other.
 
     :param layers: number of layers of the model.
@@ -191,7 +191,7 @@
     def __init__(self, layers: int) -> None:
         self.layers = layers
         self.engines: dict[str, EngineStandin] = {}
-        self.felling: set[bytes] = set()
+        self.crashing_second_stage: set[bytes] = set()
         """Bodies of requests that crash the second engine of their chain, and every
         engine that replaces it."""
         self.streams: list[StreamRecord] = []
@@ -213,7 +213,7 @@
     :ivar events: number of events in a stream.
     """
 
-    def __init__(self, name: str, site: EngineSite) -> None:
+    def __init__(self, name: str, site: EngineCluster) -> None:
         super().__init__(name)
         self.site = site
         self.held: tuple[int, int] | None = None
@@ -228,10 +228,10 @@
         """Number of events after which the next stream is aborted inside an event."""
         self.resets = False
         """Whether it resets each request but answers reports as if it were healthy."""
-        self.forgets = False
+        self.drops_reused_connections = False
         """Whether it aborts a connection that already carried a request when reused."""
         self._used_connections: set[object] = set()
-        self._own: dict[str, StreamRecord] = {}
+        self._open_streams: dict[str, StreamRecord] = {}
 
     async def start(self) -> None:
         """Listen and join the engines of the site."""
@@ -249,7 +249,7 @@
                 return _answer(self._report())
             case "/order":
                 return self._take_order(orjson.loads(await http.read()))
-        if self.forgets and http.protocol in self._used_connections:
+        if self.drops_reused_connections and http.protocol in self._used_connections:
             assert http.transport is not None
             http.transport.abort()
             return web.Response()
@@ -275,7 +275,7 @@
 
     def _report(self) -> dict[str, Any]:
         stalled = []
-        for record in self._own.values():
+        for record in self._open_streams.values():
             obstacle = self.site.find_unavailable_stage(record.path)
             if obstacle is not None:
                 stalled.append({"id": record.request, "address": obstacle})
@@ -312,7 +312,7 @@
         return web.Response(status=400)
 
     def _reroute(self, request: str, path: list[tuple[str, int, int]]) -> web.Response:
-        record = self._own.get(request)
+        record = self._open_streams.get(request)
         if record is None:
             return web.Response(status=404)
         obstacle = self.site.find_unavailable_stage(path)
@@ -329,7 +329,7 @@
     ) -> web.StreamResponse:
         request = http.headers["Attempt-Id"]
         self.runs[request] += 1
-        record = self._own[request] = StreamRecord(request, path)
+        record = self._open_streams[request] = StreamRecord(request, path)
         self.site.streams.append(record)
         response = web.StreamResponse(headers=self.sign(http))
         response.enable_chunked_encoding()
@@ -337,11 +337,11 @@
         try:
             if body in self.crashing:
                 await self.crash(body)
-            while body in self.site.felling:
+            while body in self.site.crashing_second_stage:
                 await self.site.engines[record.path[1][0]].crash(body)
             await self._send_events(http, response, record)
         finally:
-            self._own.pop(request, None)
+            self._open_streams.pop(request, None)
         return response
 
     async def _send_events(
--- a/marigoldswitch/standins/platform_store.py
+++ b/marigoldswitch/standins/platform_store.py
@@ -72,7 +72,7 @@
         self._write(table, "", key, base64.b64encode(value).decode())
         return self._version
 
-    def drop(self, table: str, key: str) -> None:
+    def delete(self, table: str, key: str) -> None:
         """Delete a row."""
         self._delete(table, "", key)
 
@@ -86,7 +86,7 @@
         self._history.clear()
         self._oldest_version = self._version
 
-    def copy(self) -> None:
+    def take_snapshot(self) -> None:
         """Take a snapshot for :meth:`restore`."""
         self._snapshot = _Snapshot(dict(self._rows), list(self._history), self._version)
 
--- a/marigoldswitch/tests/gateway_site.py
+++ b/marigoldswitch/tests/gateway_site.py
@@ -12,7 +12,7 @@
 from marigoldswitch.gateway.ports import Addresses, HostSettings, Identity
 from marigoldswitch.platform.compose import compose_gateway
 from marigoldswitch.standins.platform_engines import (
-    EngineSite,
+    EngineCluster,
     EngineStandin,
     PlainStandin,
     TargetStandin,
@@ -81,7 +81,7 @@
 
     def __init__(self) -> None:
         self.store = StoreStandin()
-        self.engines = EngineSite(LAYERS)
+        self.engines = EngineCluster(LAYERS)
         self.desks: list[PlainStandin] = []
         self.hosts: list[GatewayHost] = []
         self.client = aiohttp.ClientSession()
--- a/marigoldswitch/tests/test_administration.py
+++ b/marigoldswitch/tests/test_administration.py
@@ -13,7 +13,7 @@
 from marigoldswitch.operators import OperatorDirectory
 from marigoldswitch.settings import OperatorSettings
 from marigoldswitch.signatures import format_private_key, parse_private_key
-from marigoldswitch.standins.deployment import WIDE_QUOTA, digest_key
+from marigoldswitch.standins.deployment import AMPLE_QUOTA, digest_key
 from marigoldswitch.tests.helpers import (
     BOOKINGS_PATH,
     LETTERS_PATH,
@@ -306,7 +306,7 @@
 
     async def play():
         arguments = {"data_centres": ("hobart", "hobart"), "settings": settings}
-        arguments["quota"] = WIDE_QUOTA
+        arguments["quota"] = AMPLE_QUOTA
         async with run_deployment(**arguments) as (deployment, session):
             address = deployment.get_address("host-0", "callers")
             ends = []
--- a/marigoldswitch/tests/test_connections.py
+++ b/marigoldswitch/tests/test_connections.py
@@ -131,7 +131,7 @@
             engine = await site.add_engine("x", "north", (0, 8))
             await site.wait_until(lambda: len(get_targets(site)) == 1)
             for number in range(4):
-                engine.forgets = number > 0
+                engine.drops_reused_connections = number > 0
                 async with site.call("/draft/", number) as answered:
                     assert list_event_ids(await answered.read()) == ALL_EVENTS
             suspects = site.hosts[0].parts.runs.directory.suspects
--- a/marigoldswitch/tests/test_crashes.py
+++ b/marigoldswitch/tests/test_crashes.py
@@ -57,7 +57,7 @@
 def test_request_that_crashes_later_engines_of_its_chain_is_stopped():
     async def scenario():
         async with run_site(hosts=1) as site:
-            site.engines.felling = {CRASHING}
+            site.engines.crashing_second_stage = {CRASHING}
             await site.add_engine("first", "north", (0, 4))
             for index in range(8):
                 await site.add_engine(f"x{index}", "north", (4, 8))
@@ -201,7 +201,9 @@
                     )
                 )
                 await asyncio.sleep(0.05)
-                busiest = max(_list_live_engines(site), key=lambda item: len(item._own))
+                busiest = max(
+                    _list_live_engines(site), key=lambda item: len(item._open_streams)
+                )
                 await busiest.stop()
                 assert len(_list_live_engines(site)) == 6 - ends
             await asyncio.gather(*tasks)
@@ -218,4 +220,4 @@
 
 
 def _has_streams(engine):
-    return bool(engine._own)
+    return bool(engine._open_streams)
--- a/marigoldswitch/tests/test_draining.py
+++ b/marigoldswitch/tests/test_draining.py
@@ -5,7 +5,7 @@
 import socket
 import time
 
-from marigoldswitch.standins.deployment import LOOPBACK, WIDE_QUOTA, Deployment
+from marigoldswitch.standins.deployment import AMPLE_QUOTA, LOOPBACK, Deployment
 from marigoldswitch.tests.helpers import run_async, run_deployment, wait_until
 from marigoldswitch.tools.soak_load import Caller, EndKind
 
@@ -48,7 +48,7 @@
     async def play():
         async with run_deployment(settings=SETTINGS) as (deployment, session):
             caller = Caller(session, lambda h: deployment.get_address(h, "callers"))
-            deployment.quota = WIDE_QUOTA
+            deployment.quota = AMPLE_QUOTA
             await deployment.roll_out(deployment.build_bundle(), seen=1)
             balancer = Balancer(deployment)
             watch = asyncio.create_task(balancer.run())
--- a/marigoldswitch/tests/test_gateway.py
+++ b/marigoldswitch/tests/test_gateway.py
@@ -33,8 +33,8 @@
             head = site.engines.streams[0]
             first = site.engines.engines[head.path[0][0]]
             assert first.paths[-1] == "/draft/a?b=%20"
-            assert first.heads[-1]["Tenant"] == ACCOUNT
-            assert "Authorization" not in first.heads[-1]
+            assert first.request_headers[-1]["Tenant"] == ACCOUNT
+            assert "Authorization" not in first.request_headers[-1]
             # Only one host sends orders: engines carry out each order that they get.
             for engine in site.engines.engines.values():
                 assert len(engine.orders) == engine.sequence
@@ -58,7 +58,7 @@
     async def scenario():
         async with run_site(desks=2) as site:
             for desk in site.desks:
-                desk.cuts = 1
+                desk.lost_answers = 1
             async with site.call("/once/", 1) as answer:
                 assert answer.status in (502, 504)
             assert sum(desk.runs["try-1"] for desk in site.desks) == 1
@@ -122,7 +122,7 @@
             await site.wait_until(
                 lambda: site.hosts[0].parts.runs.directory.version == 2
             )
-            site.desks[0].hangs = 1
+            site.desks[0].unanswered = 1
             async with site.call("/once/", 1) as answer:
                 assert answer.status == 504
 
@@ -244,7 +244,7 @@
                 lambda: site.hosts[0].parts.targets.dependency.is_lost
             )
             site.store.put("op", "config", build_configuration(3))
-            site.store.drop("servers", "d0")
+            site.store.delete("servers", "d0")
             site.store.compact()
             site.store.refuse = None
             await site.wait_until(lambda: directory.version == 3)
@@ -286,7 +286,7 @@
             answer = await site.call("/draft/", 1)
             await answer.content.readany()
             answer.close()
-            await site.wait_until(lambda: not engine._own)
+            await site.wait_until(lambda: not engine._open_streams)
             assert not site.hosts[0].parts.runs.loads.own
 
     run_scenario(scenario())
@@ -300,7 +300,7 @@
                 item for item in site.engines.engines.values() if item.held is not None
             )
             await victim.stop()
-            site.store.drop("servers", victim.name)
+            site.store.delete("servers", victim.name)
             fresh = await site.add_engine("fresh", "north")
             await site.wait_until(lambda: fresh.held is not None)
             assert fresh.orders[0]["expected_rev"] == 0
--- a/marigoldswitch/tests/test_processes.py
+++ b/marigoldswitch/tests/test_processes.py
@@ -10,7 +10,7 @@
 import yaml
 
 from marigoldswitch.core.ids import HostId
-from marigoldswitch.standins.deployment import LOOPBACK, WIDE_QUOTA, Deployment
+from marigoldswitch.standins.deployment import AMPLE_QUOTA, LOOPBACK, Deployment
 from marigoldswitch.tests.helpers import run_async
 from marigoldswitch.tools.soak_load import Caller, EndKind
 
@@ -71,7 +71,7 @@
     """Start stand-ins and daemons; the first daemon is the seed of the others."""
     processes = Processes(folder)
     deployment = Deployment(settings={"drain": DRAIN})
-    deployment.quota = WIDE_QUOTA
+    deployment.quota = AMPLE_QUOTA
     try:
         platform, desk, *engines = await asyncio.gather(
             processes.start_standin("platform", "platform"),
@@ -84,9 +84,9 @@
             ),
         )
         deployment.addresses["platform"] = platform
-        deployment.note_target("desk-0", "hobart", desk, service="bookings")
+        deployment.register_target("desk-0", "hobart", desk, service="bookings")
         for (name, layers), address in zip(LAYER_RANGES.items(), engines, strict=True):
-            deployment.note_target(
+            deployment.register_target(
                 name, "hobart", address, service="drafting", layers=list(layers)
             )
         for name in daemons:
--- a/marigoldswitch/tests/test_store_restored.py
+++ b/marigoldswitch/tests/test_store_restored.py
@@ -340,7 +340,7 @@
             await site.wait_until(
                 lambda: all(len(_list_names(host)) == 2 for host in hosts)
             )
-            store.copy()
+            store.take_snapshot()
             lost = await site.add_engine("lost", DATA_CENTRES[0], (0, 8))
             await site.wait_until(
                 lambda: all("lost" in _list_names(host) for host in hosts)
@@ -375,7 +375,7 @@
                 lambda: all(host.parts.runs.directory.version == 6 for host in hosts)
             )
             await fresh.stop()
-            store.drop("servers", "fresh")
+            store.delete("servers", "fresh")
             await site.wait_until(
                 lambda: all("fresh" not in _list_names(h) for h in hosts)
             )
