--- a/marigoldswitch/tests/test_log_stories.py
+++ b/marigoldswitch/tests/test_log_stories.py
@@ -3,7 +3,7 @@
 import orjson
 
 from marigoldswitch.tools import control
-from marigoldswitch.tools.log_stories import find_story, read_lines
+from marigoldswitch.tools.log_stories import find_trail, read_lines
 
 
 def line(second, event, **fields):
@@ -30,7 +30,7 @@
 
 
 def test_trail_is_in_time_order_and_includes_its_engines(tmp_path):
-    story = find_story(read_lines(write(tmp_path)), "r1")
+    story = find_trail(read_lines(write(tmp_path)), "r1")
     assert [item["event"] for item in story] == [
         "chain_chosen",
         "engine_silent",
@@ -40,7 +40,7 @@
 
 
 def test_request_that_no_line_names_has_no_trail(tmp_path):
-    assert find_story(read_lines(write(tmp_path)), "r3") == []
+    assert find_trail(read_lines(write(tmp_path)), "r3") == []
 
 
 def test_tool_prints_the_trail(tmp_path, capsys):
--- a/marigoldswitch/tools/log_stories.py
+++ b/marigoldswitch/tools/log_stories.py
@@ -45,7 +45,7 @@
             yield fields
 
 
-def find_story(lines: Iterable[Line], request: str) -> list[Line]:
+def find_trail(lines: Iterable[Line], request: str) -> list[Line]:
     """Return the lines about a request and its targets, sorted by time.
 
     :param request: id of the request.
