--- a/marigoldswitch/tests/test_membership.py
+++ b/marigoldswitch/tests/test_membership.py
@@ -36,7 +36,7 @@
 )
 from marigoldswitch.core.membership import Membership
 from marigoldswitch.tests.helpers import HOBART
-from marigoldswitch.tools.membership_bench import Network
+from marigoldswitch.tools.membership_bench import VirtualNetwork
 
 HOSTS = 8
 
@@ -54,18 +54,20 @@
     return replace(record, **changes)
 
 
-def build_network(loss: float = 0.0, hosts: int = HOSTS, seed: int = 1) -> Network:
-    network = Network(Random(seed), loss)
+def build_network(
+    loss: float = 0.0, hosts: int = HOSTS, seed: int = 1
+) -> VirtualNetwork:
+    network = VirtualNetwork(Random(seed), loss)
     for number in range(hosts):
-        network.add(number, hosts)
+        network.add_host(number, hosts)
     return network
 
 
-def list_statuses(network: Network, subject: str) -> set[Status | None]:
+def list_statuses(network: VirtualNetwork, subject: str) -> set[Status | None]:
     """Return the statuses that the other running hosts have for a host."""
     statuses = set()
     for name, host in network.hosts.items():
-        if name not in network.down and name != subject:
+        if name not in network.stopped_hosts and name != subject:
             record = host.table.get(HostId(subject))
             statuses.add(record.status if record else None)
     return statuses
@@ -76,7 +78,7 @@
     first = network.hosts[HostId("host-000")].own
     for host in network.hosts.values():
         host.handle(TableReceived((first,)), 0.0)
-    network.run(20.0)
+    network.run_until(20.0)
     digests = {host.digest for host in network.hosts.values()}
     assert len(digests) == 1
     assert all(len(host.list_live()) == HOSTS - 1 for host in network.hosts.values())
@@ -84,19 +86,19 @@
 
 def test_lost_host_is_dead_everywhere_and_returns_at_a_new_address():
     network = build_network()
-    network.fill_tables()
-    network.run(5.0)
-    network.down.add(HostId("host-003"))
-    network.run(20.0)
+    network.introduce_all()
+    network.run_until(5.0)
+    network.stopped_hosts.add(HostId("host-003"))
+    network.run_until(20.0)
     assert list_statuses(network, "host-003") == {Status.DEAD}
     old = network.hosts[HostId("host-003")].own
     own = replace(old, run=99, peers="moved", incarnation=Incarnation(7))
     restarted = Membership(own, Random(5), 0.5, network.now)
     network.hosts[own.host] = restarted
-    network.down.clear()
+    network.stopped_hosts.clear()
     seed = network.hosts[HostId("host-000")]
-    network.carry(seed.own.host, seed.handle(TableReceived((own,)), network.now))
-    network.run(30.0)
+    network.execute(seed.own.host, seed.handle(TableReceived((own,)), network.now))
+    network.run_until(30.0)
     assert list_statuses(network, "host-003") == {Status.ALIVE}
     assert {
         h.table[own.host].peers for h in network.hosts.values() if h is not restarted
@@ -107,8 +109,8 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_host_is_declared_dead_at_thirty_percent_loss(seed):
     network = build_network(loss=0.3, seed=seed)
-    network.fill_tables()
-    network.run(60.0)
+    network.introduce_all()
+    network.run_until(60.0)
     dead = [item for item in network.changes if item[2].status is Status.DEAD]
     assert dead == []
     assert sum(host.counts["suspected"] for host in network.hosts.values()) > 0
@@ -116,31 +118,31 @@
 
 def test_partitions_stay_live_separately_and_merge_after_healing():
     network = build_network()
-    network.fill_tables()
-    network.run(5.0)
+    network.introduce_all()
+    network.run_until(5.0)
     names = list(network.hosts)
     halves = {name: index % 2 for index, name in enumerate(names)}
-    network.cut = {
+    network.blocked_links = {
         (one, two) for one in names for two in names if halves[one] != halves[two]
     }
-    network.run(25.0)
+    network.run_until(25.0)
     for name, host in network.hosts.items():
         live = {item.host for item in host.list_live()} | {name}
         assert live == {other for other in names if halves[other] == halves[name]}
-    network.cut = set()
-    network.run(60.0)
+    network.blocked_links = set()
+    network.run_until(60.0)
     assert all(len(host.list_live()) == HOSTS - 1 for host in network.hosts.values())
 
 
 def test_leaving_and_bundle_versions_reach_all_hosts_in_three_seconds():
     network = build_network(loss=0.1, hosts=40)
-    network.fill_tables()
-    network.run(5.0)
+    network.introduce_all()
+    network.run_until(5.0)
     one, two = HostId("host-001"), HostId("host-002")
-    network.carry(one, network.hosts[one].handle(Leave(), network.now))
+    network.execute(one, network.hosts[one].handle(Leave(), network.now))
     version = BundleVersion(8)
-    network.carry(two, network.hosts[two].handle(OwnBundle(version), network.now))
-    network.run(network.now + 3.0)
+    network.execute(two, network.hosts[two].handle(OwnBundle(version), network.now))
+    network.run_until(network.now + 3.0)
     others = [h for name, h in network.hosts.items() if name not in {one, two}]
     assert all(host.table[one].leaving for host in others)
     assert all(host.table[two].bundle == version for host in others)
