--- a/marigoldswitch/tests/plays.py
+++ b/marigoldswitch/tests/plays.py
@@ -35,7 +35,7 @@
         )
 
 
-class Play:
+class Simulation:
     """Dispatchers that share one set of targets and take the requests in turn.
 
     :param targets: number of targets.
@@ -50,9 +50,9 @@
         self.mean, self.sigma = mean, sigma
         self.slots = targets * slots
         self.now = 0.0
-        self.lives = {}
+        self.records = {}
         self.running = Counter()
-        self.most_busy = 0
+        self.max_running = 0
         self._slots_per_target = slots
         self._events = []
         self._order = itertools.count()
@@ -63,7 +63,7 @@
         self._schedule(TICK, None, "tick")
 
     @property
-    def bound(self):
+    def capacity(self):
         """Return the units of cost per second that the targets can serve."""
         return self.slots / self.mean
 
@@ -93,27 +93,27 @@
         self.now = until
         return self
 
-    def list_lives(self, **wanted):
+    def list_records(self, **wanted):
         """Return the requests whose ask has the given field values."""
         return [
             record
-            for record in self.lives.values()
+            for record in self.records.values()
             if all(getattr(record.ask, key) == value for key, value in wanted.items())
         ]
 
-    def count_goodput(self, start, end):
+    def measure_goodput(self, start, end):
         """Return the cost per second finished in time, relative to the capacity."""
         done = sum(
             record.ask.cost
-            for record in self.lives.values()
+            for record in self.records.values()
             if record.in_time and start <= record.ended < end
         )
-        return done / (end - start) / self.bound
+        return done / (end - start) / self.capacity
 
-    def count_by_account(self, start, end):
+    def sum_served_cost(self, start, end):
         """Return the cost finished in time, by account."""
         found = defaultdict(float)
-        for record in self.lives.values():
+        for record in self.records.values():
             if record.in_time and start <= record.ended < end:
                 found[record.ask.account] += record.ask.cost
         return found
@@ -139,14 +139,14 @@
         self._schedule(self.now + TICK, None, "tick")
 
     def _on_ask(self, ask):
-        self.lives[ask.request] = RequestRecord(ask, self.now)
-        number = len(self.lives) % len(self.dispatchers)
+        self.records[ask.request] = RequestRecord(ask, self.now)
+        number = len(self.records) % len(self.dispatchers)
         self._handle(self.dispatchers[number], ask)
 
     def _on_release(self, item):
         dispatcher, grant, seconds = item
         self.running[grant.targets[0]] -= 1
-        self.lives[grant.request].ended = self.now
+        self.records[grant.request].ended = self.now
         report = TargetReport(grant.targets[0], seconds)
         release = Release(grant.permit, BOOKINGS.name, "host-0", seconds, (report,))
         self._handle(dispatcher, release)
@@ -159,20 +159,20 @@
                 case Grant() as grant:
                     self._start(dispatcher, grant)
                 case Deny(request=request, retry_after=retry_after):
-                    record = self.lives[request]
+                    record = self.records[request]
                     assert record.granted is None
                     assert record.refused is None
                     record.refused, record.retry_after = self.now, retry_after
 
     def _start(self, dispatcher, grant):
         """Run a request, slowed in proportion if its target exceeds its slots."""
-        record = self.lives[grant.request]
+        record = self.records[grant.request]
         assert record.granted is None
         assert record.refused is None
         record.granted = self.now
         name = grant.targets[0]
         self.running[name] += 1
-        self.most_busy = max(self.most_busy, self.running[name])
+        self.max_running = max(self.max_running, self.running[name])
         slowdown = max(1.0, self.running[name] / self._slots_per_target)
         mean_log = -(self.sigma**2) / 2.0
         factor = self.rng.lognormvariate(mean_log, self.sigma)
@@ -186,7 +186,7 @@
     return ordered[int(level * (len(ordered) - 1))] if ordered else float("inf")
 
 
-def measure_fairness(values):
+def compute_jain_index(values):
     """Return Jain's fairness index."""
     values = list(values)
     return sum(values) ** 2 / (len(values) * sum(item * item for item in values))
