--- a/marigoldswitch/tests/test_fronts.py
+++ b/marigoldswitch/tests/test_fronts.py
@@ -24,12 +24,12 @@
 from marigoldswitch.core.messages import Grant, Message
 from marigoldswitch.core.ports import Row, StoreFault
 from marigoldswitch.core.requests import Answer, AnswerEnd, Request
-from marigoldswitch.fronts import Front
+from marigoldswitch.fronts import Frontend
 from marigoldswitch.members import Member
 from marigoldswitch.metrics import Metrics
 from marigoldswitch.observers import CallerGone
 from marigoldswitch.peers import PeerNetwork
-from marigoldswitch.runs import Parts
+from marigoldswitch.runs import RunContext
 from marigoldswitch.settings import ClaimSettings
 from marigoldswitch.tests.helpers import BOOKINGS, DRAFTING, HOBART, build_target
 from marigoldswitch.wire import MessageCodec
@@ -151,7 +151,7 @@
         network = PeerNetwork("host-0", ["s"], lambda host: None, MessageCodec(Message))
         claim_settings = ClaimSettings(interval=1e-6, late_answer=0.01)
         self.claims = Claims(self.table, None, network, clock, claim_settings, 1)
-        parts = Parts(
+        parts = RunContext(
             clock,
             Member("host-0", HOBART, ""),
             self.dispatching,
@@ -159,7 +159,7 @@
             self.targets,
             self.targets,
         )
-        self.front = Front(parts, Metrics(), 10)
+        self.front = Frontend(parts, Metrics(), 10)
         self.bundle = SimpleNamespace(
             services={service.name: service},
             targets={target.id: target},
@@ -245,7 +245,7 @@
         assert not self.front.held
         assert not self.dispatching.held_permits
         assert not len(self.claims.own)
-        assert self.front.breaches == 0
+        assert self.front.invariant_violations == 0
         if not self.service.idempotent:
             assert self.targets.ran <= 1
         if ends and isinstance(ends[0], Fault) and ends[0].not_run:
--- a/marigoldswitch/tests/test_streams.py
+++ b/marigoldswitch/tests/test_streams.py
@@ -67,7 +67,9 @@
     assert end["tokens"] == TOKENS
     for engine in deployment.engines.values():
         assert set(engine.ran.values()) <= {1}
-    assert not any(host.parts.front.breaches for host in deployment.hosts.values())
+    assert not any(
+        host.parts.front.invariant_violations for host in deployment.hosts.values()
+    )
 
 
 def set_fault(names, **faults):
