--- a/marigoldswitch/gateway/hosts.py
+++ b/marigoldswitch/gateway/hosts.py
@@ -232,7 +232,7 @@
 
     async def _answer_readiness(self, http: web.BaseRequest) -> web.StreamResponse:
         if http.path == METRICS_PATH:
-            return await self.parts.metrics.show(http)  # type: ignore[arg-type]
+            return await self.parts.metrics.serve(http)  # type: ignore[arg-type]
         return web.Response(status=200 if self.is_ready else 503)
 
     async def _run_spread(self) -> None:
--- a/marigoldswitch/platform/daemon.py
+++ b/marigoldswitch/platform/daemon.py
@@ -17,7 +17,7 @@
 
 logger = structlog.get_logger(__name__)
 
-WRONG_SETTINGS_STATUS = 2
+INVALID_SETTINGS_STATUS = 2
 SETTINGS_POLL_SECONDS = 2.0
 """Interval of checks for a changed settings file, as long as a configuration may take
 to come into force."""
@@ -37,7 +37,7 @@
     match read_settings(path):
         case Err(faults):
             print(faults, file=sys.stderr)
-            return WRONG_SETTINGS_STATUS
+            return INVALID_SETTINGS_STATUS
         case Ok((settings, store_address)):
             pass
     if check:
--- a/marigoldswitch/tests/fakes.py
+++ b/marigoldswitch/tests/fakes.py
@@ -23,30 +23,30 @@
 class FakePlatform:
     """Table service, object store and host list in memory.
 
-    :param out: whether every call fails as unavailable.
-    :param lose: number of next transactions that take effect but whose answer is lost.
-    :param drop: number of next transactions that are lost without effect; the fault is
-        the same as with ``lose``.
+    :param is_unavailable: whether every call fails as unavailable.
+    :param lost_answers: number of next transactions that take effect but whose answer is lost.
+    :param lost_transactions: number of next transactions that are lost without effect; the fault is
+        the same as with ``lost_answers``.
     """
 
     rows: dict = field(default_factory=dict)
     objects: dict = field(default_factory=dict)
     hosts: list = field(default_factory=list)
-    out: bool = False
-    lose: int = 0
-    drop: int = 0
+    is_unavailable: bool = False
+    lost_answers: int = 0
+    lost_transactions: int = 0
     reads: int = 0
     writes: int = 0
 
     async def read(self, table, key):
         self.reads += 1
-        if self.out:
+        if self.is_unavailable:
             return Err(StoreFault.UNAVAILABLE)
         return Ok(self.rows.get((table, key)))
 
     async def scan(self, table, prefix):
         self.reads += 1
-        if self.out:
+        if self.is_unavailable:
             return Err(StoreFault.UNAVAILABLE)
         return Ok(
             {
@@ -58,10 +58,10 @@
 
     async def transact(self, puts):
         self.writes += 1
-        if self.out:
+        if self.is_unavailable:
             return Err(StoreFault.UNAVAILABLE)
-        if self.drop:
-            self.drop -= 1
+        if self.lost_transactions:
+            self.lost_transactions -= 1
             return Err(StoreFault.UNKNOWN)
         for put in puts:
             row = self.rows.get((put.table, put.key))
@@ -72,26 +72,28 @@
                 del self.rows[put.table, put.key]
             else:
                 self.rows[put.table, put.key] = Row(put.value, put.expect + 1)
-        if self.lose:
-            self.lose -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             return Err(StoreFault.UNKNOWN)
         return Ok(None)
 
     async def get(self, key):
         self.reads += 1
-        if self.out:
+        if self.is_unavailable:
             return Err(StoreFault.UNAVAILABLE)
         return Ok(self.objects.get(key))
 
     async def put(self, key, content):
-        if self.out:
+        if self.is_unavailable:
             return Err(StoreFault.UNAVAILABLE)
         self.objects[key] = content
         return Ok(None)
 
     async def fetch(self):
         self.reads += 1
-        return Err(StoreFault.UNAVAILABLE) if self.out else Ok(list(self.hosts))
+        return (
+            Err(StoreFault.UNAVAILABLE) if self.is_unavailable else Ok(list(self.hosts))
+        )
 
 
 @dataclass
@@ -111,17 +113,17 @@
         return sign_step(self.signer, step, digest, version, OperatorId(self.name))
 
 
-async def carry_through(releases, content, ana, ben, seen=0):
+async def release_bundle(releases, content, ana, ben, seen=0):
     """Submit, review, sign off and accept a bundle.
 
     :param seen: version in force that the operators have seen.
     """
     draft = await releases.submit(content, ana.sign(Step.SUBMIT, digest(content), seen))
     assert draft.is_ok(), draft
-    return await finish(releases, digest(content), ana, ben, seen)
+    return await review_and_accept(releases, digest(content), ana, ben, seen)
 
 
-async def finish(releases, name, ana, ben, seen):
+async def review_and_accept(releases, name, ana, ben, seen):
     review = await releases.review(name, ana.sign(Step.REVIEW, name, seen))
     assert review.is_ok(), review
     signed = await releases.sign_off(name, ben.sign(Step.SIGN_OFF, name, seen))
--- a/marigoldswitch/tests/test_fronts.py
+++ b/marigoldswitch/tests/test_fronts.py
@@ -27,7 +27,7 @@
 from marigoldswitch.fronts import Frontend
 from marigoldswitch.members import Member
 from marigoldswitch.metrics import Metrics
-from marigoldswitch.observers import CallerGone
+from marigoldswitch.observers import CallerDisconnected
 from marigoldswitch.peers import PeerNetwork
 from marigoldswitch.runs import RunContext
 from marigoldswitch.settings import ClaimSettings
@@ -238,7 +238,7 @@
 
     def check(self, result):
         ends = [item for item in self.events if isinstance(item, AnswerEnd | Fault)]
-        gone = isinstance(result, asyncio.CancelledError | CallerGone)
+        gone = isinstance(result, asyncio.CancelledError | CallerDisconnected)
         assert result is None or gone
         assert len(ends) == 1 or (gone and not ends)
         assert not ends or self.events[-1] is ends[0]
--- a/marigoldswitch/tests/test_placement.py
+++ b/marigoldswitch/tests/test_placement.py
@@ -44,8 +44,8 @@
 from marigoldswitch.core.upgrades import find_upgrade_faults
 from marigoldswitch.drains import Drains
 from marigoldswitch.engine_orders import OrderEnd
-from marigoldswitch.engine_watch import PART
-from marigoldswitch.orderers import Orderer, OrdererPorts, OrderSwitch
+from marigoldswitch.engine_watch import READS_PER_ROUND
+from marigoldswitch.orderers import OrdererPorts, OrderSwitch, PlacementOrderer
 from marigoldswitch.settings import OrderSettings
 from marigoldswitch.tests.fakes import FakePlatform
 from marigoldswitch.tests.helpers import build_target
@@ -290,7 +290,7 @@
             OrderSwitch(world.platform),
             self.adoption,
         )
-        self.orderer = Orderer(ports, name, TAS, OrderSettings(loads=1000))
+        self.orderer = PlacementOrderer(ports, name, TAS, OrderSettings(loads=1000))
         self.work = None
 
     def step(self):
@@ -384,7 +384,7 @@
 
     @rule()
     def lose_store_answer(self):
-        self.platform.lose = 1
+        self.platform.lost_answers = 1
 
     @rule(name=st.sampled_from([f"e{n % 3}-{n // 3}" for n in range(9)]))
     def end_load(self, name):
@@ -423,7 +423,7 @@
         """Run one holder undisturbed; return the seconds to reach the desired state."""
         holder = Holder(self, "last")
         holder.adoption.adopt(self.bundle)
-        self.platform.lose, self.lost[:] = 0, []
+        self.platform.lost_answers, self.lost[:] = 0, []
         service = self.bundle.services["drafting"]
         began = self.clock.monotonic()
         while self.clock.monotonic() - began < 600.0:
@@ -541,13 +541,13 @@
     run_ticks(world, holder, 12)
     reads.clear()
     run_ticks(world, holder, 12)
-    assert {len(names) for names in reads} == {PART}
+    assert {len(names) for names in reads} == {READS_PER_ROUND}
     assert {name for names in reads for name in names} == set(world.engines)
     wrong = world.engines["e1-29"]
     wrong.loaded = wrong.wanted = hold(build_bundle(9, replicas=30), "e1-29").loaded
     reads.clear()
     while ("drains", "e1-29") not in world.platform.rows:
-        assert len(reads) <= 2 * len(world.engines) / PART
+        assert len(reads) <= 2 * len(world.engines) / READS_PER_ROUND
         run_ticks(world, holder, 1)
     assert len(reads[-1]) == len(world.engines), "planned on what was just read"
     run_ticks(world, holder, 30)
--- a/marigoldswitch/tests/test_releases.py
+++ b/marigoldswitch/tests/test_releases.py
@@ -34,9 +34,9 @@
     FakeOperator,
     FakePlatform,
     build_content,
-    carry_through,
     digest,
-    finish,
+    release_bundle,
+    review_and_accept,
 )
 
 ANA, BEN, EVE = (FakeOperator(name) for name in ("ana", "ben", "eve"))
@@ -55,7 +55,7 @@
 def test_life_cycle_ends_in_a_record_that_every_host_can_verify():
     platform = FakePlatform()
     releases = build_releases(platform)
-    record = run(carry_through(releases, ONE, ANA, BEN)).unwrap()
+    record = run(release_bundle(releases, ONE, ANA, BEN)).unwrap()
     assert record.version == 1
     assert record == run(releases.read_accepted()).unwrap()
     assert record == decode_record(encode_record(record))
@@ -109,7 +109,7 @@
 def test_changed_bundle_needs_its_own_sign_off():
     async def work():
         releases = build_releases(FakePlatform())
-        (await carry_through(releases, ONE, ANA, BEN)).unwrap()
+        (await release_bundle(releases, ONE, ANA, BEN)).unwrap()
         changed = build_content("changed")
         name = digest(changed)
         return await releases.accept(name, 1, BEN.sign(Step.ACCEPT, name, 2))
@@ -120,8 +120,8 @@
 def test_operator_who_loses_a_race_is_told_who_won():
     async def work():
         releases = build_releases(FakePlatform())
-        (await carry_through(releases, ONE, ANA, BEN)).unwrap()
-        return await carry_through(releases, TWO, BEN, ANA, seen=0)
+        (await release_bundle(releases, ONE, ANA, BEN)).unwrap()
+        return await release_bundle(releases, TWO, BEN, ANA, seen=0)
 
     refusal = run(work()).unwrap_err()
     assert refusal.fault is ReleaseFault.CONFLICT
@@ -145,7 +145,7 @@
         platform = YieldingPlatform()
         first, second = build_releases(platform), build_releases(platform)
         return await asyncio.gather(
-            carry_through(first, ONE, ANA, BEN), carry_through(second, TWO, BEN, ANA)
+            release_bundle(first, ONE, ANA, BEN), release_bundle(second, TWO, BEN, ANA)
         )
 
     results = run(work())
@@ -158,11 +158,11 @@
     async def work():
         platform = FakePlatform()
         releases = build_releases(platform)
-        platform.lose = 4
-        record = await carry_through(releases, ONE, ANA, BEN)
-        assert platform.lose == 0
+        platform.lost_answers = 4
+        record = await release_bundle(releases, ONE, ANA, BEN)
+        assert platform.lost_answers == 0
         name = digest(ONE)
-        platform.drop = 1
+        platform.lost_transactions = 1
         acceptance = BEN.sign(Step.ACCEPT, name, 2)
         dropped = await releases.accept(name, 1, acceptance)
         again = await releases.accept(name, 1, acceptance)
@@ -177,8 +177,8 @@
 def test_rollback_is_a_new_version_with_old_content():
     async def work():
         releases = build_releases(FakePlatform())
-        (await carry_through(releases, ONE, ANA, BEN)).unwrap()
-        (await carry_through(releases, TWO, ANA, BEN, seen=1)).unwrap()
+        (await release_bundle(releases, ONE, ANA, BEN)).unwrap()
+        (await release_bundle(releases, TWO, ANA, BEN, seen=1)).unwrap()
         name = digest(ONE)
         back = await releases.accept(name, 2, BEN.sign(Step.ACCEPT, name, 3))
         return back.unwrap(), (await releases.list_history(2)).unwrap()
@@ -191,8 +191,8 @@
 def test_content_in_force_can_be_signed_anew():
     async def work():
         releases = build_releases(FakePlatform())
-        (await carry_through(releases, ONE, ANA, BEN)).unwrap()
-        return await carry_through(releases, ONE, BEN, ANA, seen=1)
+        (await release_bundle(releases, ONE, ANA, BEN)).unwrap()
+        return await release_bundle(releases, ONE, BEN, ANA, seen=1)
 
     record = run(work()).unwrap()
     assert record.version == 2
@@ -203,12 +203,12 @@
     async def work():
         platform = FakePlatform()
         old = Releases(platform, platform, OPERATORS | {"eve": EVE.settings})
-        (await carry_through(old, ONE, EVE, BEN)).unwrap()
+        (await release_bundle(old, ONE, EVE, BEN)).unwrap()
         releases = build_releases(platform)
         name = digest(ONE)
         stale = await releases.accept(name, 1, BEN.sign(Step.ACCEPT, name, 2))
         (await releases.submit(ONE, ANA.sign(Step.SUBMIT, name, 1))).unwrap()
-        renewed = await finish(releases, name, ANA, BEN, 1)
+        renewed = await review_and_accept(releases, name, ANA, BEN, 1)
         return stale, renewed
 
     stale, renewed = run(work())
@@ -293,11 +293,11 @@
 def test_new_host_gets_the_highest_version_from_peers_while_the_platform_is_out():
     platform, net = FakePlatform(), FakeNetwork()
     one, other = (build_follower(name, platform, net) for name in ("h1", "h2"))
-    run(carry_through(build_releases(platform), ONE, ANA, BEN))
+    run(release_bundle(build_releases(platform), ONE, ANA, BEN))
     run(one.look())
-    run(carry_through(build_releases(platform), TWO, ANA, BEN, seen=1))
+    run(release_bundle(build_releases(platform), TWO, ANA, BEN, seen=1))
     run(other.look())
-    platform.out = True
+    platform.is_unavailable = True
     fresh = build_follower("h3", platform, net)
     show_members(net)
     run(fresh.look())
@@ -312,8 +312,8 @@
     async def work():
         platform, net = FakePlatform(), FakeNetwork()
         releases = build_releases(platform)
-        one = (await carry_through(releases, ONE, ANA, BEN)).unwrap()
-        two = (await carry_through(releases, TWO, ANA, BEN, seen=1)).unwrap()
+        one = (await release_bundle(releases, ONE, ANA, BEN)).unwrap()
+        two = (await release_bundle(releases, TWO, ANA, BEN, seen=1)).unwrap()
         follower = build_follower("h1", platform, net)
         adopted = []
         follower.watch_bundle(lambda bundle: adopted.append(bundle.version))
@@ -329,8 +329,10 @@
     follower = build_follower("h1", platform, net)
     fake = FakePlatform()
     untrusted = {item.name: item.settings for item in (ANA, EVE)}
-    forged = run(carry_through(Releases(fake, fake, untrusted), TWO, ANA, EVE)).unwrap()
-    true = run(carry_through(build_releases(platform), ONE, ANA, BEN)).unwrap()
+    forged = run(
+        release_bundle(Releases(fake, fake, untrusted), TWO, ANA, EVE)
+    ).unwrap()
+    true = run(release_bundle(build_releases(platform), ONE, ANA, BEN)).unwrap()
     content = BundleContent(9, encode_record(forged), pack_content(TWO))
     follower.take_bundle("h2", content)
     follower.take_bundle("h2", BundleContent(9, b"junk", TWO))
@@ -379,7 +381,11 @@
 
         Without this rule few random runs would get past the first versions.
         """
-        self.platform.out, self.platform.lose, self.platform.drop = False, 0, 0
+        (
+            self.platform.is_unavailable,
+            self.platform.lost_answers,
+            self.platform.lost_transactions,
+        ) = False, 0, 0
         self.release_new_content((ANA, BEN), 0)
         for name in names:
             self.look(name)
@@ -426,11 +432,11 @@
 
     @rule(lose=st.integers(0, 2), drop=st.integers(0, 1))
     def lose_answers(self, lose, drop):
-        self.platform.lose, self.platform.drop = lose, drop
+        self.platform.lost_answers, self.platform.lost_transactions = lose, drop
 
     @rule(out=st.booleans())
     def switch_platform(self, out):
-        self.platform.out = out
+        self.platform.is_unavailable = out
 
     @rule(name=st.sampled_from(HOSTS))
     def toggle_connection(self, name):
@@ -479,7 +485,7 @@
         """After platform and network recover, all hosts reach the newest version."""
         if not hasattr(self, "platform"):
             return
-        self.platform.out, self.net.disconnected = False, set()
+        self.platform.is_unavailable, self.net.disconnected = False, set()
         for follower in self.net.followers.values():
             run(follower.look())
             assert follower.adoption.version == max(self.accepted, default=0)
--- a/marigoldswitch/tests/test_security.py
+++ b/marigoldswitch/tests/test_security.py
@@ -16,7 +16,7 @@
 from marigoldswitch.compose import compose_host
 from marigoldswitch.core.leases import decode_lease
 from marigoldswitch.core.ports import Row
-from marigoldswitch.daemon import WRONG_SETTINGS_STATUS, serve
+from marigoldswitch.daemon import INVALID_SETTINGS_STATUS, serve
 from marigoldswitch.documents import write_document
 from marigoldswitch.drains import Drains
 from marigoldswitch.engine_orders import parse_report
@@ -123,7 +123,7 @@
     settings = build_settings(tls=tls).model_dump(mode="json")
     path = tmp_path / "settings.yaml"
     path.write_bytes(write_document(settings))
-    assert serve(path, check=True) == WRONG_SETTINGS_STATUS
+    assert serve(path, check=True) == INVALID_SETTINGS_STATUS
     error = capsys.readouterr().err
     assert "tls.callers_certificate" in error
     assert "none.pem" in error
--- a/marigoldswitch/tests/test_settings.py
+++ b/marigoldswitch/tests/test_settings.py
@@ -4,7 +4,7 @@
 
 from result import Err, Ok
 
-from marigoldswitch.daemon import WRONG_SETTINGS_STATUS, serve
+from marigoldswitch.daemon import INVALID_SETTINGS_STATUS, serve
 from marigoldswitch.settings import parse_settings
 from marigoldswitch.tools.pages import format_settings_page
 
@@ -33,7 +33,7 @@
 def test_invalid_file_ends_with_its_status(tmp_path, capsys):
     path = tmp_path / "settings.yaml"
     path.write_text("host: [")
-    assert serve(path, check=True) == WRONG_SETTINGS_STATUS
+    assert serve(path, check=True) == INVALID_SETTINGS_STATUS
     assert str(path) in capsys.readouterr().err
 
 
