--- a/marigoldswitch/tests/test_administration.py
+++ b/marigoldswitch/tests/test_administration.py
@@ -213,7 +213,7 @@
         assert status == Exit.DONE, text
         hosts = self.deployment.hosts.values()
         for host in hosts:
-            await host.parts.follower.look()
+            await host.parts.follower.poll_platform()
         assert {host.parts.adoption.version for host in hosts} == {2}
         status, text = await self.run("ana", control.history)
         assert text.split()[0] == "2"
@@ -227,7 +227,7 @@
         status, text = await self.run("ben", control.drain, "engine-0-0", **why)
         assert status == Exit.DONE, text
         for host in self.deployment.hosts.values():
-            await host.parts.follower.look()
+            await host.parts.follower.poll_platform()
         address = self.deployment.get_address("host-0", "callers")
         body = {"input": {"prompt": "A letter"}}
         answers = []
--- a/marigoldswitch/tests/test_releases.py
+++ b/marigoldswitch/tests/test_releases.py
@@ -250,9 +250,9 @@
                 continue
             match message:
                 case FetchBundle():
-                    self.followers[host].tell_bundle(sender, message)
+                    self.followers[host].answer_fetch(sender, message)
                 case BundleContent():
-                    self.followers[host].take_bundle(sender, message)
+                    self.followers[host].receive_bundle(sender, message)
                     run(self.followers[host].adopt_pending())
 
 
@@ -294,13 +294,13 @@
     platform, net = FakePlatform(), FakeNetwork()
     one, other = (build_follower(name, platform, net) for name in ("h1", "h2"))
     run(release_bundle(build_releases(platform), ONE, ANA, BEN))
-    run(one.look())
+    run(one.poll_platform())
     run(release_bundle(build_releases(platform), TWO, ANA, BEN, seen=1))
-    run(other.look())
+    run(other.poll_platform())
     platform.is_unavailable = True
     fresh = build_follower("h3", platform, net)
     show_members(net)
-    run(fresh.look())
+    run(fresh.poll_platform())
     for _ in range(10):
         fresh.query_peers()
         net.deliver()
@@ -334,18 +334,18 @@
     ).unwrap()
     true = run(release_bundle(build_releases(platform), ONE, ANA, BEN)).unwrap()
     content = BundleContent(9, encode_record(forged), pack_content(TWO))
-    follower.take_bundle("h2", content)
-    follower.take_bundle("h2", BundleContent(9, b"junk", TWO))
+    follower.receive_bundle("h2", content)
+    follower.receive_bundle("h2", BundleContent(9, b"junk", TWO))
     other = pack_content(TWO)
-    follower.take_bundle("h2", BundleContent(9, encode_record(true), other))
+    follower.receive_bundle("h2", BundleContent(9, encode_record(true), other))
     bomb = zlib.compress(b"0" * 50_000_000)
-    follower.take_bundle("h2", BundleContent(9, encode_record(true), bomb))
+    follower.receive_bundle("h2", BundleContent(9, encode_record(true), bomb))
     run(follower.adopt_pending())
     assert follower.adoption.version == 0
     assert follower.refused == 4
     platform.rows["bundles", "accepted"] = fake.rows["bundles", "accepted"]
     platform.objects |= fake.objects
-    run(follower.look())
+    run(follower.poll_platform())
     assert follower.adoption.version == 0
 
 
@@ -487,7 +487,7 @@
             return
         self.platform.is_unavailable, self.net.disconnected = False, set()
         for follower in self.net.followers.values():
-            run(follower.look())
+            run(follower.poll_platform())
             assert follower.adoption.version == max(self.accepted, default=0)
 
 
--- a/marigoldswitch/tests/test_security.py
+++ b/marigoldswitch/tests/test_security.py
@@ -208,8 +208,8 @@
         platform = FakePlatform()
         drains = Drains(platform)
         platform.rows["drains", "e0"] = Row(b"\xc1", 1)
-        assert await drains.look()
-        return list(drains.marked)
+        assert await drains.refresh()
+        return list(drains.drained)
 
     assert run_async(scenario()) == ["e0"]
 
@@ -264,7 +264,7 @@
         address = f"http://{LOOPBACK}:{runner.addresses[0][1]}"
         host = compose_host(build_settings(platform={"address": address}))
         await host.start()
-        await host.parts.follower.look()
+        await host.parts.follower.poll_platform()
         await host.parts.orderer.tick()
         version = host.parts.adoption.version
         await host.stop()
