--- a/marigoldswitch/gateway/spread.py
+++ b/marigoldswitch/gateway/spread.py
@@ -26,11 +26,16 @@
 from marigoldswitch.core.loads import Usage
 from marigoldswitch.core.ports import Row
 from marigoldswitch.core.registry import Change
-from marigoldswitch.gateway.crash_news import CrashNoteExchange
-from marigoldswitch.gateway.news import DigestExchangeParts, StateSync
+from marigoldswitch.gateway.crash_note_exchange import CrashNoteExchange
 from marigoldswitch.gateway.ports import HostRecord
 from marigoldswitch.gateway.roster import SILENT_SECONDS, Roster
-from marigoldswitch.gateway.told import RESEND_SECONDS, TICK_SECONDS, SendLog, is_same
+from marigoldswitch.gateway.send_log import (
+    RESEND_SECONDS,
+    TICK_SECONDS,
+    SendLog,
+    is_same,
+)
+from marigoldswitch.gateway.state_sync import DigestExchangeParts, StateSync
 
 logger = structlog.get_logger(__name__)
 
--- a/marigoldswitch/platform/compose.py
+++ b/marigoldswitch/platform/compose.py
@@ -26,12 +26,12 @@
 from marigoldswitch.gateway.fronts import Frontend
 from marigoldswitch.gateway.hosts import GatewayHost, GatewayParts
 from marigoldswitch.gateway.metrics import GatewayMetrics
-from marigoldswitch.gateway.news import DigestExchangeParts
 from marigoldswitch.gateway.orderer import LayerOrderer
 from marigoldswitch.gateway.planner import ChainPlanner
 from marigoldswitch.gateway.ports import HostSettings
 from marigoldswitch.gateway.probing import EngineProbes
 from marigoldswitch.gateway.spread import DigestExchange
+from marigoldswitch.gateway.state_sync import DigestExchangeParts
 from marigoldswitch.gateway.upstream import Upstream
 from marigoldswitch.metrics import Metrics
 from marigoldswitch.peers import PeerNetwork
--- a/marigoldswitch/tests/test_large_configuration.py
+++ b/marigoldswitch/tests/test_large_configuration.py
@@ -24,7 +24,7 @@
 from marigoldswitch.core.ids import DataCentre, HostId
 from marigoldswitch.core.pacing import Pacer
 from marigoldswitch.gateway.directory import Directory
-from marigoldswitch.gateway.news import StateSync
+from marigoldswitch.gateway.state_sync import StateSync
 from marigoldswitch.tests.helpers import run_virtually
 
 HOME = DataCentre("a")
--- a/marigoldswitch/tests/test_news.py
+++ b/marigoldswitch/tests/test_state_sync.py
@@ -16,7 +16,7 @@
 from marigoldswitch.core.ids import DataCentre, HostId, TargetId
 from marigoldswitch.core.registry import GRACE_SECONDS, TargetRow
 from marigoldswitch.gateway.directory import Directory
-from marigoldswitch.gateway.news import StateSync
+from marigoldswitch.gateway.state_sync import StateSync
 
 READER, IDLE = HostId("10.1.0.1:80"), HostId("10.1.0.2:80")
 
