--- a/marigoldswitch/core/crashes.py
+++ b/marigoldswitch/core/crashes.py
@@ -112,7 +112,7 @@
 
     @property
     def is_shared(self) -> bool:
-        """Tell whether other hosts need this record."""
+        """Return whether other hosts need this record."""
         if self.is_held or self.cleared_at > float("-inf"):
             return True
         return any(item.percent >= SHARE_PERCENT for item in self.crashes.values())
@@ -142,7 +142,7 @@
     # Events observed by this host.
 
     def has_record(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether there is a record of a request."""
+        """Return whether there is a record of a request."""
         return fingerprint in self._records
 
     def find_hold(self, fingerprint: Fingerprint, now: float) -> Hold | None:
@@ -177,7 +177,8 @@
             self._hold_if_blamed(item.fingerprint)
 
     def note_completed(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Clear a request that has completed; tell whether it was a shared suspect."""
+        """Clear a request that has completed; return whether it was a shared
+        suspect."""
         record = self._records.get(fingerprint)
         if record is None:
             return False
@@ -216,7 +217,7 @@
 
     @property
     def has_unsent_hold(self) -> bool:
-        """Tell whether unsent changes concern a request on hold."""
+        """Return whether unsent changes concern a request on hold."""
         return any(
             name in self._records and self._records[name].is_held
             for name in self._unsent
--- a/marigoldswitch/core/deputies.py
+++ b/marigoldswitch/core/deputies.py
@@ -39,7 +39,8 @@
     :param outage_seconds: seconds since the store last answered it; 0 while it answers.
     :param hears_reader: another host has reported that the store answers it.
     :param hears_holder: another host has reported that it holds the lease.
-    :param digest_ages: seconds since the last digest of each other host of the data centre.
+    :param digest_ages: seconds since the last digest of each other host of the data
+        centre.
     """
 
     host: HostId
--- a/marigoldswitch/core/event_stream.py
+++ b/marigoldswitch/core/event_stream.py
@@ -34,7 +34,7 @@
 
     @property
     def has_remainder(self) -> bool:
-        """Tell whether the buffer holds an incomplete event."""
+        """Return whether the buffer holds an incomplete event."""
         return len(self._buffer) > 0
 
     def feed(self, content: bytes) -> list[Event]:
--- a/marigoldswitch/core/layer_cover.py
+++ b/marigoldswitch/core/layer_cover.py
@@ -30,8 +30,8 @@
     :ivar held: layer range of each engine that holds any.
     :ivar copies: number of engines that hold each layer.
     :ivar holder_sizes: sum of the range lengths of each layer's holders.
-    :ivar capacities: capacity of each layer: context tokens that its holders have memory for
-        together.
+    :ivar capacities: capacity of each layer: context tokens that its holders have
+        memory for together.
     """
 
     def __init__(self, model: ModelSpec, engines: Iterable[LayoutEngine]) -> None:
--- a/marigoldswitch/core/local_health.py
+++ b/marigoldswitch/core/local_health.py
@@ -57,7 +57,7 @@
         answers.append(_Answer(asked, now))
 
     def has_answered(self, centre: DataCentre, since: float) -> bool:
-        """Tell whether a probe sent since a moment to a data centre was answered."""
+        """Return whether a probe sent since a moment to a data centre was answered."""
         return any(item.asked_at >= since for item in self._answers.get(centre, ()))
 
     def explain_silence(self, centre: DataCentre, since: float, now: float) -> Cause:
--- a/marigoldswitch/core/models.py
+++ b/marigoldswitch/core/models.py
@@ -12,7 +12,8 @@
 
     :param memory_mb: memory for weights and the KV cache of requests, in MB.
     :param step_factor: time of a decode step, relative to the reference accelerator.
-    :param prefill_factor: time to process a prompt, relative to the reference accelerator.
+    :param prefill_factor: time to process a prompt, relative to the reference
+        accelerator.
     """
 
     name: str
@@ -36,8 +37,8 @@
     :param prefill_seconds_per_token: time to process one token of a prompt.
     :param load_seconds: time to load all layers.
     :param loads_at_once: number of parallel loads that don't slow each other down.
-    :param crossing_seconds_per_token: time that one token of a prompt occupies the link between
-        data centres.
+    :param crossing_seconds_per_token: time that one token of a prompt occupies the link
+        between data centres.
     :param accelerators: accelerator kinds by name.
     """
 
--- a/marigoldswitch/core/registry.py
+++ b/marigoldswitch/core/registry.py
@@ -134,7 +134,7 @@
         ]
 
     def is_ending(self, name: TargetId, now: float) -> bool:
-        """Tell whether work in flight must move away from a target.
+        """Return whether work in flight must move away from a target.
 
         True if the target is unknown or has been leaving for ``ENDING_SECONDS``.
         """
@@ -156,8 +156,8 @@
     ) -> None:
         """Replace all rows by a complete list; rows missing from it count as removed.
 
-        :param is_authoritative: whether the list comes from a host with a working feed, so that
-            missing targets are dropped without a grace period.
+        :param is_authoritative: whether the list comes from a host with a working feed,
+            so that missing targets are dropped without a grace period.
         """
         if get_era(revision) > get_era(self.revision) and self.revision:
             self._note_restore(revision, now)
@@ -246,7 +246,7 @@
         return replace(row, leaving=leaving)
 
     def _is_address_taken(self, row: TargetRow) -> bool:
-        """Tell whether another target is known at the row's address."""
+        """Return whether another target is known at the row's address."""
         return self._by_address.get(row.target.address, row.target.id) != row.target.id
 
     def remove(self, name: TargetId, now: float) -> None:
@@ -346,7 +346,7 @@
 
 
 def _is_older(row: TargetRow, known: TargetRow) -> bool:
-    """Tell whether a row is older than the known one.
+    """Return whether a row is older than the known one.
 
     A row of an earlier start is older whatever its revision, as it may arrive late.
     """
--- a/marigoldswitch/core/relays.py
+++ b/marigoldswitch/core/relays.py
@@ -76,7 +76,7 @@
 
 
 def is_lead(own: HostRank, ages: Mapping[HostRank, float]) -> bool:
-    """Tell whether a host is the lead relay, which sums up the loads.
+    """Return whether a host is the lead relay, which sums up the loads.
 
     It is a relay, and no host that ranks before it was heard within
     ``LEAD_TIMEOUT_SECONDS``.
@@ -119,7 +119,7 @@
         readers: Iterable[HostRank],
         now: float,
     ) -> bool:
-        """Tell whether this host must read the store now.
+        """Return whether this host must read the store now.
 
         The first hosts by rank that the store answers do. When one of them fails, the
         next hosts take over one after the other, each after a delay.
--- a/marigoldswitch/core/routes.py
+++ b/marigoldswitch/core/routes.py
@@ -40,8 +40,8 @@
     :param max_targets: most targets on which one request may run, one after the other.
     :param is_public: callers need no key.
     :param is_resumable: another target can continue a stream after its last event.
-    :param max_event_gap: longest pause between two events of a stream that is on time, in
-        seconds; 0 if none is set.
+    :param max_event_gap: longest pause between two events of a stream that is on time,
+        in seconds; 0 if none is set.
     :param latency_target: seconds within which an answer should arrive.
     :param caller_patience: seconds without an event after which callers leave a stream.
     """
--- a/marigoldswitch/core/suspects.py
+++ b/marigoldswitch/core/suspects.py
@@ -73,20 +73,20 @@
         self._listeners.append(listener)
 
     def is_excluded(self, target: TargetId, now: float) -> bool:
-        """Tell whether a target is excluded now."""
+        """Return whether a target is excluded now."""
         suspicion = self._suspicions.get(target)
         return suspicion is not None and now < suspicion.until
 
     def is_dead(self, target: TargetId, now: float) -> bool:
-        """Tell whether a target is excluded because it does not answer."""
+        """Return whether a target is excluded because it does not answer."""
         return self._is_excluded_as(target, Finding.DEAD, now)
 
     def is_failing(self, target: TargetId, now: float) -> bool:
-        """Tell whether a target is excluded because it lost a request."""
+        """Return whether a target is excluded because it lost a request."""
         return self._is_excluded_as(target, Finding.FAILED, now)
 
     def has_failed(self, target: TargetId) -> bool:
-        """Tell whether the latest finding is a lost request, even after exclusion."""
+        """Return whether the latest finding is a lost request, even after exclusion."""
         known = self._suspicions.get(target)
         return known is not None and known.finding is Finding.FAILED
 
@@ -96,7 +96,8 @@
         return self._suspicions[target].finding is finding
 
     def has_been_dead(self, target: TargetId, seconds: float, now: float) -> bool:
-        """Tell whether a target has been excluded as dead for at least ``seconds``."""
+        """Return whether a target has been excluded as dead for at least
+        ``seconds``."""
         if not self.is_dead(target, now):
             return False
         return now - self._suspicions[target].since >= seconds
--- a/marigoldswitch/gateway/connections.py
+++ b/marigoldswitch/gateway/connections.py
@@ -108,7 +108,7 @@
 
 
 def may_keep_connections(max_connections: int, host_count: int) -> bool:
-    """Tell whether the hosts may keep idle connections to a target.
+    """Return whether the hosts may keep idle connections to a target.
 
     :param max_connections: connections that the target accepts from all hosts; 0 where
         unknown.
--- a/marigoldswitch/gateway/crashes.py
+++ b/marigoldswitch/gateway/crashes.py
@@ -40,12 +40,12 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Tell whether the target is known to have ended."""
+        """Return whether the target is known to have ended."""
         return self._has_verdict(True)
 
     @property
     def is_refuted(self) -> bool:
-        """Tell whether the target was found alive."""
+        """Return whether the target was found alive."""
         return self._has_verdict(False)
 
     def _has_verdict(self, has_ended: bool) -> bool:
@@ -76,7 +76,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether there is no record of any request."""
+        """Return whether there is no record of any request."""
         return not len(self._ledger)
 
     def find_hold(self, fingerprint: Fingerprint) -> Hold | None:
@@ -153,7 +153,7 @@
     async def _confirm_end(
         self, start: TargetRun, target: Target, interruption: _Interruption
     ) -> bool:
-        """Tell whether a target has ended; if so, record the requests that it ran.
+        """Return whether a target has ended; if so, record the requests that it ran.
 
         A reset connection, a cut link or a slow target is not an end.
         """
--- a/marigoldswitch/gateway/detours.py
+++ b/marigoldswitch/gateway/detours.py
@@ -97,7 +97,7 @@
         self.stages = ()
 
     def has_delivered(self, target: TargetId) -> bool:
-        """Tell whether this chain has delivered an event through an engine."""
+        """Return whether this chain has delivered an event through an engine."""
         return any(item.target == target for item in self._delivering_stages)
 
     def request_check(self) -> None:
@@ -263,7 +263,8 @@
             raise ChainBroken("the request is held off, as it ends engines")
 
     def _is_lost(self, stage: Stage) -> bool:
-        """Tell whether the engine of a stage is dead, ending, or giving up its layers.
+        """Return whether the engine of a stage is dead, ending, or giving up its
+        layers.
 
         An engine that is ordered to hold other layers first waits for its streams:
         while they stayed, one took over 8 s to begin loading layers that were missing.
--- a/marigoldswitch/gateway/directory.py
+++ b/marigoldswitch/gateway/directory.py
@@ -45,7 +45,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether this host has what it needs to serve callers."""
+        """Return whether this host has what it needs to serve callers."""
         return self.stored is not None and self.has_targets
 
     def watch(self, listener: Callable[[RoutingTable], None]) -> None:
--- a/marigoldswitch/gateway/exchanges.py
+++ b/marigoldswitch/gateway/exchanges.py
@@ -76,7 +76,8 @@
 
     @property
     def may_run_again(self) -> bool:
-        """Tell whether the route allows another run, leaving aside the retry budget."""
+        """Return whether the route allows another run, leaving aside the retry
+        budget."""
         if not self.route.is_idempotent:
             return self.run_count == 0
         return self.run_count - self.discounted_runs < self.route.max_targets
@@ -175,7 +176,7 @@
 
 
 def needs_new_connection(parts: RunParts, exchange: Exchange) -> bool:
-    """Tell whether a request must not be sent over a reused connection.
+    """Return whether a request must not be sent over a reused connection.
 
     One that may run only once must not: if the target closes the connection as the
     request arrives, it can't be told whether it has run. Nor may one to targets that
@@ -214,7 +215,8 @@
 def check_hold(parts: RunParts, exchange: Exchange) -> None:
     """Check that a request is not held off because it ends targets.
 
-    :raises RequestRefused: if it is. The answer says "not run" only if it has not run yet.
+    :raises RequestRefused: if it is. The answer says "not run" only if it has not run
+        yet.
     """
     hold = find_hold(parts, exchange)
     if hold is None:
@@ -253,7 +255,7 @@
 
 
 def has_not_run(exchange: Exchange) -> bool:
-    """Tell whether the request has certainly not run on any target."""
+    """Return whether the request has certainly not run on any target."""
     return exchange.run_count == 0
 
 
--- a/marigoldswitch/gateway/followers.py
+++ b/marigoldswitch/gateway/followers.py
@@ -78,7 +78,7 @@
 
     @property
     def is_lost(self) -> bool:
-        """Tell whether the last read failed."""
+        """Return whether the last read failed."""
         return self.failures > 0
 
     def note_success(self) -> None:
@@ -112,7 +112,8 @@
     """Puts each new configuration of the store in force.
 
     :param reading: set while this host must read the store itself.
-    :ivar get_backoff_factor: returns the factor by which this host waits longer in an outage.
+    :ivar get_backoff_factor: returns the factor by which this host waits longer in an
+        outage.
     :ivar waits: how long its reads wait.
     """
 
@@ -168,7 +169,8 @@
     """Keeps the registry of targets up to date with the store.
 
     :param reading: set while this host must read the store itself.
-    :ivar get_backoff_factor: returns the factor by which this host waits longer in an outage.
+    :ivar get_backoff_factor: returns the factor by which this host waits longer in an
+        outage.
     :ivar waits: how long its reads wait.
     """
 
--- a/marigoldswitch/gateway/forwarding.py
+++ b/marigoldswitch/gateway/forwarding.py
@@ -64,7 +64,7 @@
         self.last_sent = now
 
     def _is_duplicate(self, event: Event) -> bool:
-        """Tell whether the caller has received an event before.
+        """Return whether the caller has received an event before.
 
         Numeric ids are taken to be in ascending order; an event without an id is new.
         """
--- a/marigoldswitch/gateway/fronts.py
+++ b/marigoldswitch/gateway/fronts.py
@@ -61,7 +61,7 @@
         return len(self._busy_connections)
 
     def is_busy(self, connection: object) -> bool:
-        """Tell whether a request is running on a connection."""
+        """Return whether a request is running on a connection."""
         return connection in self._busy_connections
 
     async def wait_idle(self) -> None:
@@ -139,8 +139,9 @@
         """Read a request's body and look up its route, client account and service.
 
         :param arrived: when the request head had been read, in monotonic seconds.
-        :raises RequestRefused: if the host takes no requests, the body is not acceptable, the
-            current configuration does not allow the request, or it is held off.
+        :raises RequestRefused: if the host takes no requests, the body is not
+            acceptable, the current configuration does not allow the request, or it is
+            held off.
         """
         table = self._parts.directory.table
         # The body is read even for a request that is refused: closing a connection with
@@ -312,7 +313,8 @@
 
     Returns ``None`` for a missing or unknown key where the route needs none.
 
-    :raises RequestRefused: if the route needs a key and the caller's is missing or unknown.
+    :raises RequestRefused: if the route needs a key and the caller's is missing or
+        unknown.
     """
     account = table.accounts.get(call.api_key) if call.api_key else None
     if account is None and table.needs_keys and not route.is_public:
--- a/marigoldswitch/gateway/plain.py
+++ b/marigoldswitch/gateway/plain.py
@@ -91,7 +91,8 @@
         While one sending is running, one more may be started as a hedge. Those that are
         still running at the end are cancelled.
 
-        :raises RequestRefused: if the request may not be sent again or no target is left.
+        :raises RequestRefused: if the request may not be sent again or no target is
+            left.
         """
         pending: set[asyncio.Task[SendResult | None]] = set()
         try:
@@ -276,14 +277,14 @@
         return end
 
     def _may_retry(self) -> bool:
-        """Tell whether the route allows sending the request to one more target."""
+        """Return whether the route allows sending the request to one more target."""
         exchange = self._exchange
         if exchange.send_count >= exchange.route.max_targets:
             return False
         return exchange.route.is_idempotent or exchange.run_count == 0
 
     def _spend_retry(self) -> bool:
-        """Take one retry out of the service's budget; tell whether there was one."""
+        """Take one retry out of the service's budget; return whether there was one."""
         budget = self._parts.retries.get(self._exchange.service.name)
         return budget.spend(self._parts.clock.monotonic())
 
@@ -309,8 +310,8 @@
     def _build_response(self, answer: Answered) -> web.StreamResponse:
         """Return the response that passes a target's answer on to the caller.
 
-        :raises RequestRefused: if callers would take its status to mean that the request has
-            not run, while it may run only once.
+        :raises RequestRefused: if callers would take its status to mean that the
+            request has not run, while it may run only once.
         """
         exchange = self._exchange
         implies_not_run = answer.status in NOT_RUN_STATUSES
--- a/marigoldswitch/gateway/ports.py
+++ b/marigoldswitch/gateway/ports.py
@@ -118,7 +118,7 @@
         """Return the headers of an error answer that this host writes itself.
 
         :param call: the refused request, if it could be decoded.
-        :param timeout: seconds after which the caller may retry, if known.
+        :param retry_after: seconds after which the caller may retry, if known.
         """
         ...
 
--- a/marigoldswitch/gateway/roster.py
+++ b/marigoldswitch/gateway/roster.py
@@ -230,7 +230,7 @@
 
     @property
     def is_mesh(self) -> bool:
-        """Tell whether the hosts of this data centre form a full mesh."""
+        """Return whether the hosts of this data centre form a full mesh."""
         return len(self.list_ages()) < MAX_MESH_HOSTS
 
     @property
@@ -241,16 +241,16 @@
 
     @property
     def is_relay(self) -> bool:
-        """Tell whether this host is a relay, active or standby."""
+        """Return whether this host is a relay, active or standby."""
         return self._own in self.relays
 
     @property
     def is_lead(self) -> bool:
-        """Tell whether this host is the lead relay, which sends the summaries."""
+        """Return whether this host is the lead relay, which sends the summaries."""
         return is_lead(self._own_rank, self._rank_ages())
 
     def must_read(self) -> bool:
-        """Tell whether this host must read the store itself."""
+        """Return whether this host must read the store itself."""
         now = self._clock.monotonic()
         if not self.has_host_list and now - self._started_at < HOST_LIST_WAIT_SECONDS:
             return False
@@ -270,7 +270,7 @@
         return choose_backoff_factor(self._own_rank, self._rank_ages())
 
     def matches_reader(self, revision: int) -> bool:
-        """Tell whether a live reader of the store knows no more than this host.
+        """Return whether a live reader of the store knows no more than this host.
 
         :param revision: up to which this host knows the targets.
         """
@@ -283,7 +283,7 @@
         )
 
     def hears_reader(self) -> bool:
-        """Tell whether any host is known to have read the store recently."""
+        """Return whether any host is known to have read the store recently."""
         now = self._clock.monotonic()
         return any(_is_reading(item, now) for item in self.peers.values())
 
@@ -348,7 +348,7 @@
 
 
 def _is_reading(peer: PeerState, now: float) -> bool:
-    """Tell whether a host was recently reported to read the store."""
+    """Return whether a host was recently reported to read the store."""
     return (
         peer.reading_at is not None and now - peer.reading_at < READER_TIMEOUT_SECONDS
     )
--- a/marigoldswitch/gateway/send_log.py
+++ b/marigoldswitch/gateway/send_log.py
@@ -29,7 +29,7 @@
     sent_at: dict[str, float] = field(default_factory=dict)
 
     def has_sent_stripped(self, stripped: LoadDigest, now: float) -> bool:
-        """Tell whether a digest without usages was sent lately; if not, record it."""
+        """Return whether a digest without usages was sent lately; if not, record it."""
         known = self.stripped is not None and is_same(stripped, self.stripped)
         if known and now - self.stripped_at < RESEND_SECONDS:
             return True
@@ -37,7 +37,7 @@
         return False
 
     def mark_if_due(self, now: float, kind: str, seconds: float) -> bool:
-        """Tell whether a kind of message is due; if so, record it as sent now.
+        """Return whether a kind of message is due; if so, record it as sent now.
 
         It counts as due up to half a tick early, as the next check may be as much late.
 
@@ -51,7 +51,8 @@
 
 
 def is_same(digest: LoadDigest, sent: LoadDigest) -> bool:
-    """Tell whether two digests are equal apart from ages, which grow by themselves."""
+    """Return whether two digests are equal apart from ages, which grow by
+    themselves."""
     return _strip_ages(digest) == _strip_ages(sent)
 
 
--- a/marigoldswitch/gateway/spread.py
+++ b/marigoldswitch/gateway/spread.py
@@ -93,7 +93,7 @@
 
     @property
     def hears_orderer(self) -> bool:
-        """Tell whether a lease note of the engines' orderer is recent."""
+        """Return whether a lease note of the engines' orderer is recent."""
         now = self._parts.clock.monotonic()
         return now - self._orderer_heard_at < ORDERER_TIMEOUT_SECONDS
 
@@ -111,7 +111,7 @@
 
     @property
     def _is_reader(self) -> bool:
-        """Tell whether this host reads the store, and the store answers."""
+        """Return whether this host reads the store, and the store answers."""
         parts = self._parts
         lost = (
             parts.configuration.dependency.is_lost or parts.targets.dependency.is_lost
@@ -120,7 +120,7 @@
 
     @property
     def _is_current(self) -> bool:
-        """Tell whether this host may send its list of targets to others."""
+        """Return whether this host may send its list of targets to others."""
         parts = self._parts
         if self._is_reader:
             return True
@@ -166,7 +166,7 @@
             self._send_remote(digest)
 
     def _is_due(self, digest: LoadDigest, now: float) -> bool:
-        """Tell whether the hosts of this data centre should get a digest now."""
+        """Return whether the hosts of this data centre should get a digest now."""
         waited = now - self._sent.digest_at
         if self._sent.digest is not None and is_same(digest, self._sent.digest):
             return waited >= RESEND_SECONDS and self.roster.is_lead
@@ -317,7 +317,7 @@
                 parts.probes.check_in_background(target)
 
     def _must_probe(self, target: Target) -> bool:
-        """Tell whether this host, or one that it informs, may use a target.
+        """Return whether this host, or one that it informs, may use a target.
 
         Engines of other data centres get few requests, only while the local ones are
         full. Probes of them by every host would change nothing.
--- a/marigoldswitch/gateway/state_sync.py
+++ b/marigoldswitch/gateway/state_sync.py
@@ -85,7 +85,7 @@
     requested_at: float = field(default=float("-inf"))
 
     def should_request(self, behind: bool, cut_off: bool, now: float) -> bool:
-        """Tell whether to ask a peer now; if so, record the request.
+        """Return whether to ask a peer now; if so, record the request.
 
         :param behind: the peer has newer state.
         :param cut_off: this host can't get it from the store itself.
@@ -159,7 +159,7 @@
             parts.network.send(sender, FetchTargets(registry.revision))
 
     def _accepts_any_sender(self, digest: LoadDigest, now: float) -> bool:
-        """Tell whether targets may be fetched from a host that is not current.
+        """Return whether targets may be fetched from a host that is not current.
 
         This holds only while this host has no targets and hears no current host.
         Otherwise hosts that start in an outage of the store refuse all callers until it
--- a/marigoldswitch/gateway/streams.py
+++ b/marigoldswitch/gateway/streams.py
@@ -86,7 +86,8 @@
     async def run(self) -> web.StreamResponse:
         """Run the request to its end and return the answer sent to the caller.
 
-        :raises RequestRefused: if it fails; :class:`AnswerAborted` once the answer has begun.
+        :raises RequestRefused: if it fails; :class:`AnswerAborted` once the answer has
+            begun.
         """
         while True:
             chain = await self._acquire_chain()
@@ -185,7 +186,8 @@
         """Spend a retry, or fail the request if it may not be sent again.
 
         :param why: why the last chain broke.
-        :raises RequestRefused: if it fails; :class:`AnswerAborted` once the answer has begun.
+        :raises RequestRefused: if it fails; :class:`AnswerAborted` once the answer has
+            begun.
         """
         self._check_hold()
         if not self._exchange.may_run_again:
@@ -196,7 +198,8 @@
     def _check_hold(self) -> None:
         """Fail the request if it is held off because it crashes engines.
 
-        :raises RequestRefused: if it fails; :class:`AnswerAborted` once the answer has begun.
+        :raises RequestRefused: if it fails; :class:`AnswerAborted` once the answer has
+            begun.
         """
         try:
             check_hold(self._parts, self._exchange)
@@ -208,7 +211,8 @@
     def _handle_refusal(self, stages: Sequence[Stage], at_fault: str | None) -> None:
         """Avoid the engine that refused for a short time, and spend a retry.
 
-        :raises RequestRefused: if it fails; :class:`AnswerAborted` once the answer has begun.
+        :raises RequestRefused: if it fails; :class:`AnswerAborted` once the answer has
+            begun.
         """
         exchange, parts = self._exchange, self._parts
         now = parts.clock.monotonic()
@@ -238,7 +242,8 @@
     def _fail_request(self, kind: ErrorKind, detail: str) -> web.StreamResponse:
         """Abort the answer if it has begun, or refuse the request.
 
-        :raises RequestRefused: always; :class:`AnswerAborted` once the answer has begun.
+        :raises RequestRefused: always; :class:`AnswerAborted` once the answer has
+            begun.
         """
         exchange = self._exchange
         if exchange.response is not None:
@@ -302,7 +307,7 @@
             result.close()
 
     def _is_stale_connection(self, lost: Lost, target: Target) -> bool:
-        """Tell whether a stale connection and not the engine lost the request.
+        """Return whether a stale connection and not the engine lost the request.
 
         An engine that has not delivered an event yet, or has lost a request, may be
         resetting every request: resent on a new connection, each would reach it twice.
--- a/marigoldswitch/gateway/upstream.py
+++ b/marigoldswitch/gateway/upstream.py
@@ -54,7 +54,7 @@
 
 
 def is_connection_refused(error: BaseException) -> bool:
-    """Tell whether a connection failed because no process listens at the address."""
+    """Return whether a connection failed because no process listens at the address."""
     if isinstance(error, aiohttp.ClientConnectorError):
         error = error.os_error
     return isinstance(error, ConnectionRefusedError)
@@ -167,7 +167,7 @@
         self._protocol = response._protocol
 
     def is_complete(self) -> bool:
-        """Tell whether the body ended normally; to be called after reading it."""
+        """Return whether the body ended normally; to be called after reading it."""
         if self._has_length or self._is_chunked or self._protocol is None:
             return True
         return not isinstance(self._protocol.exception(), OSError)
--- a/marigoldswitch/platform/engines.py
+++ b/marigoldswitch/platform/engines.py
@@ -54,8 +54,8 @@
 
         :param address: ``IP:port`` of the engine.
         :param timeout: in seconds.
-        :return: ``EngineMute`` if it answers without a report, ``EngineGone`` if the
-            connection is refused, ``None`` if there is no answer.
+        :return: ``EngineWithoutReport`` if it answers without a report, ``EngineGone``
+            if the connection is refused, ``None`` if there is no answer.
         """
         client_timeout = aiohttp.ClientTimeout(total=timeout)
         try:
--- a/marigoldswitch/platform/store.py
+++ b/marigoldswitch/platform/store.py
@@ -66,7 +66,7 @@
         return make_revision(self.era, int(self.fields["row_version"]))
 
     def is_restored_since(self, revision: int) -> bool:
-        """Tell whether the store was restored from a copy after a revision."""
+        """Return whether the store was restored from a copy after a revision."""
         return get_era(self.revision) != get_era(revision)
 
 
--- a/marigoldswitch/standins/platform_engines.py
+++ b/marigoldswitch/standins/platform_engines.py
@@ -239,7 +239,7 @@
         self.site.engines[self.address] = self
 
     def holds(self, first: int, end: int) -> bool:
-        """Tell whether it holds the layers from ``first`` to before ``end``."""
+        """Return whether it holds the layers from ``first`` to before ``end``."""
         return self.held is not None and self.held[0] <= first and end <= self.held[1]
 
     async def handle(self, http: web.BaseRequest) -> web.StreamResponse:
--- a/marigoldswitch/tests/fakes.py
+++ b/marigoldswitch/tests/fakes.py
@@ -24,9 +24,10 @@
     """Table service, object store and host list in memory.
 
     :param is_unavailable: whether every call fails as unavailable.
-    :param lost_answers: number of next transactions that take effect but whose answer is lost.
-    :param lost_transactions: number of next transactions that are lost without effect; the fault is
-        the same as with ``lost_answers``.
+    :param lost_answers: number of next transactions that take effect but whose answer
+        is lost.
+    :param lost_transactions: number of next transactions that are lost without effect;
+        the fault is the same as with ``lost_answers``.
     """
 
     rows: dict = field(default_factory=dict)
--- a/marigoldswitch/tests/test_connections.py
+++ b/marigoldswitch/tests/test_connections.py
@@ -149,7 +149,7 @@
 
 
 def has_idle_connection(site, address):
-    """Tell whether the first host has an idle connection to a target."""
+    """Return whether the first host has an idle connection to a target."""
     connections = site.hosts[0].parts.runs.upstream._connections
     sessions = (connections._short, connections._long, connections.single_use)
     pool = [key for item in sessions for key in item.connector._conns]
--- a/marigoldswitch/tests/test_selection.py
+++ b/marigoldswitch/tests/test_selection.py
@@ -24,7 +24,7 @@
     """Send requests in sequence; return how many each target got.
 
     :param seconds: answer time of each target.
-    :param fails: tells whether a target fails the request.
+    :param fails: returns whether a target fails the request.
     """
     counts, now = Counter(), 0.0
     for _ in range(count):
--- a/marigoldswitch/tools/log_stories.py
+++ b/marigoldswitch/tools/log_stories.py
@@ -82,7 +82,8 @@
 
 
 def _is_near(moment: str, first: str, last: str) -> bool:
-    """Tell whether a time lies within a request's lines or shortly before the first."""
+    """Return whether a time lies within a request's lines or shortly before the
+    first."""
     return moment <= last and _add_lead(moment) >= first
 
 
