--- a/marigoldswitch/tests/fakes.py
+++ b/marigoldswitch/tests/fakes.py
@@ -66,13 +66,13 @@
             return Err(StoreFault.UNKNOWN)
         for put in puts:
             row = self.rows.get((put.table, put.key))
-            if (row.version if row else 0) != put.expect:
+            if (row.version if row else 0) != put.expected_version:
                 return Err(StoreFault.CONFLICT)
         for put in puts:
             if put.value is None:
                 del self.rows[put.table, put.key]
             else:
-                self.rows[put.table, put.key] = Row(put.value, put.expect + 1)
+                self.rows[put.table, put.key] = Row(put.value, put.expected_version + 1)
         if self.lost_answers:
             self.lost_answers -= 1
             return Err(StoreFault.UNKNOWN)
--- a/marigoldswitch/tests/test_crashes.py
+++ b/marigoldswitch/tests/test_crashes.py
@@ -33,7 +33,7 @@
     for index in range(count):
         engine = await site.add_engine(f"x{index}", "north", (0, 8))
         engine.crashing = crashing
-    await site.wait(lambda: len(get_targets(site)) == count)
+    await site.wait_until(lambda: len(get_targets(site)) == count)
     return crashing
 
 
--- a/marigoldswitch/tests/test_fronts.py
+++ b/marigoldswitch/tests/test_fronts.py
@@ -82,10 +82,10 @@
             return Err(fault)
         for put in puts:
             row = self.rows.get(put.key)
-            if (row.version if row else 0) != put.expect:
+            if (row.version if row else 0) != put.expected_version:
                 return Err(StoreFault.CONFLICT)
         for put in puts:
-            self.rows[put.key] = Row(put.value, put.expect + 1)
+            self.rows[put.key] = Row(put.value, put.expected_version + 1)
         return Err(fault) if fault else Ok(None)
 
 
--- a/marigoldswitch/tests/test_gateway.py
+++ b/marigoldswitch/tests/test_gateway.py
@@ -411,7 +411,9 @@
         for host in site.hosts
         if host.parts.settings.identity.data_centre == "north"
     ]
-    await site.wait(lambda: sum(item.spread.roster.must_read() for item in north) == 3)
+    await site.wait_until(
+        lambda: sum(item.spread.roster.must_read() for item in north) == 3
+    )
     return north
 
 
--- a/marigoldswitch/tests/test_releases.py
+++ b/marigoldswitch/tests/test_releases.py
@@ -448,7 +448,7 @@
 
     @rule(name=st.sampled_from(HOSTS))
     def look(self, name):
-        run(self.net.followers[name].look())
+        run(self.net.followers[name].poll_platform())
 
     @rule()
     def gossip_and_query(self):
--- a/marigoldswitch/tests/test_store_restored.py
+++ b/marigoldswitch/tests/test_store_restored.py
@@ -256,7 +256,7 @@
 def test_restore_is_detected_when_new_versions_exceed_the_known_one():
     async def scenario(standin, store):
         write_target(standin, "a")
-        standin.copy()
+        standin.take_snapshot()
         write_target(standin, "b")
         seen = (await store.wait_targets(0, 0.0)).unwrap()
         standin.restore()
@@ -273,7 +273,7 @@
 
 def test_feed_from_a_version_beyond_the_newest_reports_history_gone():
     async def scenario(standin, store):
-        standin.copy()
+        standin.take_snapshot()
         write_target(standin, "a")
         seen = (await store.wait_targets(0, 0.0)).unwrap()
         standin.restore()
@@ -285,7 +285,7 @@
 
 def test_guard_matching_a_reused_version_is_reported_as_restored():
     async def scenario(standin, store):
-        standin.copy()
+        standin.take_snapshot()
         version = (await store.write("leases", "isle", b"first", 0)).unwrap()
         standin.restore()
         other = (await store.write("leases", "isle", b"rival", 0)).unwrap()
--- a/marigoldswitch/tests/test_stream_losses.py
+++ b/marigoldswitch/tests/test_stream_losses.py
@@ -242,7 +242,7 @@
     """Add an engine that resets each request and a healthy one; return the former."""
     bad = await site.add_engine("bad", "north", (0, 8))
     await site.add_engine("good", "north", (0, 8))
-    await site.wait(lambda: len(get_targets(site)) == 2)
+    await site.wait_until(lambda: len(get_targets(site)) == 2)
     bad.resets = True
     return bad
 
